--- a/clementinewall/gateway/caches.py
+++ b/clementinewall/gateway/caches.py
@@ -168,7 +168,7 @@
         self._endpoints.follow_cache(state, changes.parts)
 
     async def _body(self, state, request):
-        head, body = await state.pool.ask(request, sending.ANSWER_LIMIT)
+        head, body = await state.pool.ask(request, sending.MAX_ANSWER_BYTES)
         metrics.count("cache_calls", status=head.status)
         if head.status in NOT_OFFERED:
             raise _NotOffered(f"answered with {head.status}")
--- a/clementinewall/gateway/exchange.py
+++ b/clementinewall/gateway/exchange.py
@@ -8,14 +8,14 @@
 
 # Where a refusal doesn't know better: about the time in which a burst of
 # the callers' clumps passes.
-RETRY_MS = 300
+RETRY_AFTER_MS = 300
 # For a request that names no deadline on a route that has no timeout.
-DEFAULT_WAIT_MS = 30_000
+DEFAULT_TIMEOUT_MS = 30_000
 # Callers wait no longer than this part of the time that they have left.
-RETRY_PART = 1 / 3
+RETRY_AFTER_FRACTION = 1 / 3
 # How many endpoints may turn out to be unreachable before a request is given
 # up.  Each costs a round trip, or the time limit of a connection.
-UNREACHED_LIMIT = 4
+MAX_UNREACHED_SENDS = 4
 _REASONS = {
     400: b"Bad Request",
     404: b"Not Found",
@@ -71,15 +71,15 @@
         self.service = service
         self._now = now
         self.arrived = now()
-        self._caller_end = self.arrived + _wait_ms(call, route)
+        self._caller_end = self.arrived + _timeout_ms(call, route)
         self._end = self._caller_end
         self.verdict = verdicts.Verdict.NOT_RUN
         # Prompts that engines were asked to read only are counted apart.
         self.sends = 0
-        self.reads = 0
+        self.prefills = 0
         # When the first event of a stream came, since the arrival.
-        self.first_ms = None
-        self.tried = set()
+        self.first_event_ms = None
+        self.tried_ids = set()
         self._unreached = 0
 
     @property
@@ -107,11 +107,11 @@
         return self._now() - self.arrived
 
     @property
-    def arrivals(self):
+    def reached_sends(self):
         """Return how many sends may have reached an endpoint."""
         return self.sends - self._unreached
 
-    def note(self, failure):
+    def record_failure(self, failure):
         """Count a send that failed.
 
         One that reached nobody is no attempt: on a route that allows a
@@ -121,18 +121,18 @@
         if not failure.reached:
             self._unreached += 1
 
-    def may_send_again(self):
+    def may_retry(self):
         """Tell whether the route and the verdict allow another send."""
         return (
-            self.arrivals < self.route.max_attempts
-            and self._unreached < UNREACHED_LIMIT
+            self.reached_sends < self.route.max_attempts
+            and self._unreached < MAX_UNREACHED_SENDS
             and verdicts.may_retry(self.verdict, self.route.idempotent)
         )
 
 
-def _wait_ms(call, route):
+def _timeout_ms(call, route):
     limits = [ms for ms in (call.wait_ms, route.timeout_ms) if ms]
-    return min(limits) if limits else DEFAULT_WAIT_MS
+    return min(limits) if limits else DEFAULT_TIMEOUT_MS
 
 
 def problem(error, left_ms=None):
@@ -148,9 +148,9 @@
     if error.status in (429, 503):
         wait_ms = error.retry_after_ms
         if wait_ms is None:
-            wait_ms = RETRY_MS
+            wait_ms = RETRY_AFTER_MS
         if left_ms is not None:
-            wait_ms = min(wait_ms, left_ms * RETRY_PART)
+            wait_ms = min(wait_ms, left_ms * RETRY_AFTER_FRACTION)
         seconds = max(0.0, wait_ms) / 1_000
         headers.append((b"Retry-After", f"{seconds:.3f}".encode()))
     reason = _REASONS.get(error.status, b"Error")
--- a/clementinewall/gateway/placing.py
+++ b/clementinewall/gateway/placing.py
@@ -80,7 +80,7 @@
         states = {
             state.endpoint.id: state
             for state in self._candidates(engines)
-            if state.endpoint.id not in exchange.tried
+            if state.endpoint.id not in exchange.tried_ids
         }
         prompt = exchange.call.prompt or NO_PROMPT
         cached = max(
--- a/clementinewall/gateway/plain.py
+++ b/clementinewall/gateway/plain_relay.py
@@ -39,7 +39,7 @@
             state = self._pick(exchange)
             if state is None:
                 break
-            spent = 1 if exchange.arrivals else 0
+            spent = 1 if exchange.reached_sends else 0
             if spent and not self._budgets.spend(
                 exchange.service, spent, "send again"
             ):
@@ -52,9 +52,9 @@
             except exchanges.AttemptFailed as exc:
                 last = exc
                 if spent and not exc.reached:
-                    self._budgets.give_back(exchange.service, spent)
+                    self._budgets.refund(exchange.service, spent)
                 self._note_failure(exchange, state, exc)
-                if not exchange.may_send_again():
+                if not exchange.may_retry():
                     break
                 continue
             state.health.worked()
@@ -72,7 +72,7 @@
         states = [
             state
             for state in self._endpoints.of_service(exchange.service.name)
-            if state.endpoint.id not in exchange.tried
+            if state.endpoint.id not in exchange.tried_ids
         ]
         usable = [s for s in states if s.is_usable()] or states
         if not usable:
@@ -89,11 +89,11 @@
 
     async def _attempt(self, exchange, state):
         exchange.sends += 1
-        exchange.tried.add(state.endpoint.id)
+        exchange.tried_ids.add(state.endpoint.id)
         left_ms = exchange.left_ms
         is_last = not (
             exchange.route.idempotent
-            and exchange.arrivals < exchange.route.max_attempts
+            and exchange.reached_sends < exchange.route.max_attempts
         )
         # The last send ends with the request itself.
         limit = None if is_last else clock.seconds(left_ms * FIRST_PART)
@@ -131,7 +131,7 @@
         return answer
 
     def _note_failure(self, exchange, state, exc):
-        exchange.note(exc)
+        exchange.record_failure(exc)
         if exc.answer is None:
             state.health.failed(self._now(), exc.absent)
         self._guard.note_failure(exchange.call, state, exc, True)
--- a/clementinewall/gateway/program.py
+++ b/clementinewall/gateway/program.py
@@ -16,10 +16,10 @@
 from clementinewall.gateway import membership
 from clementinewall.gateway import peers
 from clementinewall.gateway import placing
-from clementinewall.gateway import plain
+from clementinewall.gateway import plain_relay
 from clementinewall.gateway import ports
 from clementinewall.gateway import stages
-from clementinewall.gateway import streams
+from clementinewall.gateway import stream_relay
 from clementinewall.http1 import stream as tcp
 from clementinewall import lifecycle
 from clementinewall import logs
@@ -69,10 +69,10 @@
             settings, self._peers, ticker.now_with_suspend
         )
         drain = draining.Drain(ticker)
-        self._plain = plain.PlainRelay(
+        self._plain = plain_relay.PlainRelay(
             settings, self._endpoints, self._budgets, self._guard, now
         )
-        self._streams = streams.StreamRelay(
+        self._streams = stream_relay.StreamRelay(
             self._endpoints,
             placing.Placer(
                 settings, self._endpoints, self._peers, self._membership, now
--- a/clementinewall/gateway/retries.py
+++ b/clementinewall/gateway/retry_budget.py
@@ -17,13 +17,13 @@
 import collections
 
 # What a request earns, of the deployment's ratio.
-EARNED_PART = 0.5
+EARNED_FRACTION = 0.5
 # Of the fixed number.  The rest is for sends that arrive later than they were
 # counted, and for instances that others don't know yet.
-SHARED_PART = 0.9
+SHARED_FRACTION = 0.9
 
 
-def share(bounds, gateways, age_ms, is_first):
+def slack_share(bounds, gateways, age_ms, is_first):
     """Return what one process may spend of the fixed number.
 
     ``gateways`` is how many instances share it, ``None`` if that isn't known;
@@ -33,7 +33,7 @@
         return 0.0
     if not is_first and age_ms < bounds.retry_window_ms:
         return 0.0
-    return SHARED_PART * bounds.retry_slack / gateways
+    return SHARED_FRACTION * bounds.retry_slack / gateways
 
 
 class Budget:
@@ -44,7 +44,7 @@
         self._bounds = bounds
         self._now = now
         self._requests = collections.deque()
-        self._extra = collections.deque()
+        self._sends = collections.deque()
 
     def count_request(self):
         """Count a request of a caller."""
@@ -55,26 +55,28 @@
     def spend(self, share, sends=1):
         """Take further sends; return whether so many were left.
 
-        ``share`` is what :func:`share` allows.
+        ``share`` is what :func:`slack_share` allows.
         """
-        if not self.has_left(share, sends):
+        if not self.can_spend(share, sends):
             return False
-        self._extra.extend([self._now()] * sends)
+        self._sends.extend([self._now()] * sends)
         return True
 
-    def has_left(self, share, sends=1):
+    def can_spend(self, share, sends=1):
         """Tell whether so many further sends could be taken."""
         self._trim(self._now())
-        earned = EARNED_PART * self._bounds.retry_ratio * len(self._requests)
-        return len(self._extra) + sends <= earned + share
+        earned = (
+            EARNED_FRACTION * self._bounds.retry_ratio * len(self._requests)
+        )
+        return len(self._sends) + sends <= earned + share
 
-    def give_back(self, sends):
+    def refund(self, sends):
         """Return sends that were taken last and reached nobody."""
-        for _ in range(min(sends, len(self._extra))):
-            self._extra.pop()
+        for _ in range(min(sends, len(self._sends))):
+            self._sends.pop()
 
     def _trim(self, now):
         start = now - self._bounds.retry_window_ms
-        for times in (self._requests, self._extra):
+        for times in (self._requests, self._sends):
             while times and times[0] < start:
                 times.popleft()
--- a/clementinewall/gateway/sending.py
+++ b/clementinewall/gateway/sending.py
@@ -10,7 +10,7 @@
 
 _log = logs.PartLog("send")
 
-ANSWER_LIMIT = 8_000_000
+MAX_ANSWER_BYTES = 8_000_000
 
 
 class Sent:
@@ -29,7 +29,7 @@
         :raises AttemptFailed: it broke off.
         """
         try:
-            body = await self.link.read_rest(ANSWER_LIMIT)
+            body = await self.link.read_rest(MAX_ANSWER_BYTES)
         except client.LinkBroken as exc:
             raise self.failed(exc.why, broken=True) from exc
         self.is_over = True
@@ -125,7 +125,7 @@
             request=call.attempt,
             status=head.status,
         )
-        await link.read_rest(ANSWER_LIMIT)
+        await link.read_rest(MAX_ANSWER_BYTES)
         link.expect_another()
         head = await link.read_head(silence_ms)
     return head
--- a/clementinewall/gateway/stages.py
+++ b/clementinewall/gateway/stages.py
@@ -327,7 +327,9 @@
         A kept one may have gone silent, and closing it takes along what
         wasn't sent: an order that was given up must not arrive later.
         """
-        return await state.pool.ask(request, sending.ANSWER_LIMIT, fresh=True)
+        return await state.pool.ask(
+            request, sending.MAX_ANSWER_BYTES, fresh=True
+        )
 
 
 def _stage(change):
--- a/clementinewall/gateway/streams.py
+++ b/clementinewall/gateway/stream_relay.py
@@ -74,13 +74,13 @@
                 last = exc
                 unused = _unused_sends(plan, spent, exc)
                 if unused:
-                    self._budgets.give_back(exchange.service, unused)
+                    self._budgets.refund(exchange.service, unused)
                 self._note_failure(exchange, exc, not stream.had_first)
-                if not exchange.may_send_again():
+                if not exchange.may_retry():
                     break
                 continue
-            if exchange.first_ms is not None:
-                self._drain.note_stream(exchange, exchange.first_ms)
+            if exchange.first_event_ms is not None:
+                self._drain.note_stream(exchange, exchange.first_event_ms)
             return
         if last.answer is not None and not stream.started:
             head, body = last.answer
@@ -106,7 +106,7 @@
                 decoder.endpoint.id,
                 reached=False,
             )
-        exchange.tried.add(decoder.endpoint.id)
+        exchange.tried_ids.add(decoder.endpoint.id)
         request = calls.run(
             exchange.call,
             decoder.endpoint,
@@ -156,14 +156,17 @@
         none.
         """
         route = exchange.route
-        if not route.idempotent or exchange.arrivals >= route.max_attempts:
+        if (
+            not route.idempotent
+            or exchange.reached_sends >= route.max_attempts
+        ):
             return None
-        if not self._budgets.has_left(exchange.service, READ_AGAIN_SENDS):
+        if not self._budgets.can_spend(exchange.service, READ_AGAIN_SENDS):
             return None
         others = [
             state
             for state in self._endpoints.of_service(exchange.service.name)
-            if state.endpoint.id not in exchange.tried
+            if state.endpoint.id not in exchange.tried_ids
             and state.endpoint.stage == domain.DECODE
         ]
         if not others:
@@ -181,8 +184,8 @@
                 note = self._endpoints.note_fetched
             note(plan.decoder, exchange.call.prompt)
         took = exchange.waited_ms
-        if exchange.first_ms is None:
-            exchange.first_ms = took
+        if exchange.first_event_ms is None:
+            exchange.first_event_ms = took
         metrics.observe_ms("first_event", took, route=exchange.route.name)
         _log.info(
             "first event",
@@ -197,7 +200,7 @@
         Given up without a budget to read it elsewhere, the prompt would have
         been read in vain.
         """
-        if not self._budgets.has_left(exchange.service, READ_AGAIN_SENDS):
+        if not self._budgets.can_spend(exchange.service, READ_AGAIN_SENDS):
             return None
         expected = plan.way.wait_ms + plan.way.prompt_ms
         return PREFILL_PATIENCE * expected + PREFILL_SLACK_MS
@@ -223,13 +226,13 @@
             ) as sent:
                 body = await sent.read_all()
             was_read = True
-            exchange.reads += 1
+            exchange.prefills += 1
         except exchanges.AttemptFailed as exc:
             # Only the prompt was read, so the request itself has not run.
             exchange.sends += 1
             if exc.reached and exc.verdict is not verdicts.Verdict.NOT_RUN:
-                exchange.reads += 1
-            exchange.tried.add(reader.endpoint.id)
+                exchange.prefills += 1
+            exchange.tried_ids.add(reader.endpoint.id)
             exc.verdict = verdicts.Verdict.NOT_RUN
             raise
         finally:
@@ -265,12 +268,12 @@
         request = calls.free(prefilled.handle)
         with anyio.move_on_after(clock.seconds(FREE_TIMEOUT_MS)):
             try:
-                await reader.pool.ask(request, sending.ANSWER_LIMIT)
+                await reader.pool.ask(request, sending.MAX_ANSWER_BYTES)
             except client.LinkBroken as exc:
                 _log.info("handle not freed", why=exc.why)
 
     def _note_failure(self, exchange, exc, before_first):
-        exchange.note(exc)
+        exchange.record_failure(exc)
         for state in self._endpoints.of_service(exchange.service.name):
             if state.endpoint.id == exc.endpoint_id and exc.answer is None:
                 state.health.failed(self._now(), exc.absent)
@@ -294,9 +297,9 @@
     load.
     """
     sends = 0
-    if exchange.arrivals:
+    if exchange.reached_sends:
         sends += 1
-    if exchange.reads and plan.reader is not None:
+    if exchange.prefills and plan.reader is not None:
         sends += 1
     return sends
 
@@ -313,9 +316,9 @@
 
 def _reason(exchange):
     """Return what further sends are for, as a label."""
-    if exchange.first_ms is not None:
+    if exchange.first_event_ms is not None:
         return "resume"
-    return "read again" if exchange.reads else "send again"
+    return "read again" if exchange.prefills else "send again"
 
 
 def _source(plan):
--- a/clementinewall/lab/simulation.py
+++ b/clementinewall/lab/simulation.py
@@ -204,8 +204,8 @@
             return
         wait = exc.retry_after_ms
         if wait is None:
-            wait = exchanges.RETRY_MS
-        wait = min(wait, left * exchanges.RETRY_PART)
+            wait = exchanges.RETRY_AFTER_MS
+        wait = min(wait, left * exchanges.RETRY_AFTER_FRACTION)
         self._sim.loop.after(wait, self.arrive)
 
     def _first(self, predicted_ms):
--- a/tests/gateway/test_retries.py
+++ b/tests/gateway/test_retry_budget.py
@@ -9,7 +9,7 @@
 
 from clementinewall import clock
 from clementinewall import domain
-from clementinewall.gateway import retries
+from clementinewall.gateway import retry_budget
 
 BOUNDS = domain.Bounds(retry_ratio=0.2, retry_slack=56, retry_window_ms=10_000)
 WINDOW_MS = BOUNDS.retry_window_ms
@@ -73,13 +73,15 @@
 
     def budget(self):
         """Return the budget of a process that begins."""
-        return retries.Budget(BOUNDS, self.clock.now)
+        return retry_budget.Budget(BOUNDS, self.clock.now)
 
     def share(self, number):
         """Return what a gateway may spend of the fixed number."""
         age_ms = self.clock.now() - self.started_at[number]
         is_first = self.is_first[number]
-        return retries.share(BOUNDS, self.gateways, age_ms, is_first)
+        return retry_budget.slack_share(
+            BOUNDS, self.gateways, age_ms, is_first
+        )
 
     def play(self, step):
         """Let a step happen."""
@@ -137,28 +139,34 @@
 
     def setUp(self):
         """Start a process."""
-        self.budget = retries.Budget(BOUNDS, clock.ManualClock(100_000).now)
+        self.budget = retry_budget.Budget(
+            BOUNDS, clock.ManualClock(100_000).now
+        )
 
     def test_a_quiet_gateway_may_still_retry(self):
-        self.assertTrue(self.budget.spend(retries.share(BOUNDS, 8, 0, True)))
+        self.assertTrue(
+            self.budget.spend(retry_budget.slack_share(BOUNDS, 8, 0, True))
+        )
 
     def test_a_restarted_gateway_has_its_share_after_a_window(self):
-        early = retries.share(BOUNDS, 8, WINDOW_MS - 1, False)
+        early = retry_budget.slack_share(BOUNDS, 8, WINDOW_MS - 1, False)
         self.assertFalse(self.budget.spend(early))
-        late = retries.share(BOUNDS, 8, WINDOW_MS, False)
+        late = retry_budget.slack_share(BOUNDS, 8, WINDOW_MS, False)
         self.assertTrue(self.budget.spend(late))
 
     def test_nothing_is_shared_among_gateways_that_are_not_known(self):
-        self.assertEqual(retries.share(BOUNDS, None, WINDOW_MS, True), 0)
+        self.assertEqual(
+            retry_budget.slack_share(BOUNDS, None, WINDOW_MS, True), 0
+        )
 
     def test_sends_that_reached_nobody_are_free(self):
         for _ in range(10):
             self.budget.count_request()
         self.assertTrue(self.budget.spend(0))
         self.assertFalse(self.budget.spend(0))
-        self.budget.give_back(1)
+        self.budget.refund(1)
         self.assertTrue(self.budget.spend(0))
 
     def test_giving_back_more_than_was_taken_earns_nothing(self):
-        self.budget.give_back(5)
+        self.budget.refund(5)
         self.assertFalse(self.budget.spend(0))
