--- a/bench/soak/deployment.py
+++ b/bench/soak/deployment.py
@@ -57,7 +57,7 @@
             store = case.store
             case.store = self._proxy(f"store-{name}", store, name)
             ip = f"127.0.0.{number}"
-            front = case.start_only(
+            front = case.start_without_waiting(
                 name,
                 ip,
                 grace_s=bounds.GRACE_SECONDS,
--- a/bench/soak/unplanned.py
+++ b/bench/soak/unplanned.py
@@ -90,11 +90,11 @@
     mode = deployment.draw.choice(("busy", "silent"))
     deployment.note(f"the store is {mode} for {length:.1f} s")
     deployment.ledger.trouble(mode, None, length + bounds.CALM_SECONDS)
-    deployment.case.mode(mode)
+    deployment.case.set_store_mode(mode)
 
     def mend():
         time.sleep(length)
-        deployment.case.mode("ok")
+        deployment.case.set_store_mode("ok")
         deployment.release("store")
 
     return deployment.later(mend)
--- a/clementinewall/gateway/beliefs.py
+++ b/clementinewall/gateway/beliefs.py
@@ -3,7 +3,7 @@
 Records of the store are taken in by the offset at which they stand, so that
 a stale read, a repeated page or a restart of the reading changes nothing
 back.  Nothing here waits or calls anybody; the tasks of
-:mod:`clementinewall.gateway.following` bring the records.
+:mod:`clementinewall.gateway.topic_followers` bring the records.
 """
 
 from clementinewall import errors
--- a/clementinewall/gateway/rests.py
+++ b/clementinewall/gateway/cooldowns.py
@@ -6,7 +6,7 @@
 from clementinewall import clock
 
 
-class Kind(enum.Enum):
+class Cause(enum.Enum):
     """Why an engine is left alone."""
 
     # The engine accepted or refused an order, or carries out another one.
@@ -17,47 +17,49 @@
     UNREACHABLE = "unreachable"
 
 
-class Rest(typing.NamedTuple):
+class Cooldown(typing.NamedTuple):
     """That an engine gets no order until ``until``.
 
     ``stage`` is the one that it changes to, if it accepted an order.
     """
 
-    kind: Kind
+    cause: Cause
     until: clock.Millis
     stage: str | None = None
 
 
-class Rests:
+class Cooldowns:
     """The engines that one gateway leaves alone, by id."""
 
     def __init__(self, now):
         """Begin with none; ``now`` returns the time in ms."""
         self._now = now
-        self._rest_by_id = {}
+        self._cooldown_by_id = {}
 
-    def begin(self, engine_id, kind, ms, stage=None):
+    def start(self, engine_id, cause, ms, stage=None):
         """Leave an engine alone for ``ms``."""
-        self._rest_by_id[engine_id] = Rest(kind, self._now() + ms, stage)
+        self._cooldown_by_id[engine_id] = Cooldown(
+            cause, self._now() + ms, stage
+        )
 
-    def find(self, engine_id):
+    def active(self, engine_id):
         """Return why an engine is left alone now, or ``None``."""
-        rest = self._rest_by_id.get(engine_id)
-        if rest is not None and rest.until <= self._now():
-            del self._rest_by_id[engine_id]
+        cooldown = self._cooldown_by_id.get(engine_id)
+        if cooldown is not None and cooldown.until <= self._now():
+            del self._cooldown_by_id[engine_id]
             return None
-        return rest
+        return cooldown
 
-    def left_ms(self, engine_id):
+    def remaining_ms(self, engine_id):
         """Return for how long an engine is still left alone."""
-        rest = self.find(engine_id)
-        return 0 if rest is None else rest.until - self._now()
+        cooldown = self.active(engine_id)
+        return 0 if cooldown is None else cooldown.until - self._now()
 
     @property
-    def has_order(self):
+    def has_pending_order(self):
         """Tell whether any order may still have its effect."""
-        rests = [self.find(name) for name in list(self._rest_by_id)]
+        cooldowns = [self.active(name) for name in list(self._cooldown_by_id)]
         return any(
-            rest is not None and rest.kind is not Kind.UNREACHABLE
-            for rest in rests
+            cooldown is not None and cooldown.cause is not Cause.UNREACHABLE
+            for cooldown in cooldowns
         )
--- a/clementinewall/gateway/ports.py
+++ b/clementinewall/gateway/info_server.py
@@ -20,7 +20,7 @@
 ADDRESSES_TTL_MS = 2_000
 
 
-class Ports:
+class InfoHandlers:
     """Answers the questions; ``is_ready`` tells whether callers may come."""
 
     def __init__(self, settings, peers, is_ready):
--- a/clementinewall/gateway/program.py
+++ b/clementinewall/gateway/program.py
@@ -11,15 +11,15 @@
 from clementinewall.gateway import callers
 from clementinewall.gateway import draining
 from clementinewall.gateway import endpoints
-from clementinewall.gateway import following
 from clementinewall.gateway import guard
+from clementinewall.gateway import info_server
 from clementinewall.gateway import membership
 from clementinewall.gateway import peers
 from clementinewall.gateway import placing
 from clementinewall.gateway import plain
-from clementinewall.gateway import ports
-from clementinewall.gateway import stages
+from clementinewall.gateway import stage_manager
 from clementinewall.gateway import streams
+from clementinewall.gateway import topic_followers
 from clementinewall.http1 import stream as tcp
 from clementinewall import lifecycle
 from clementinewall import logs
@@ -84,7 +84,7 @@
             group,
             now,
         )
-        self._stages = stages.StageKeeper(
+        self._stage_manager = stage_manager.StageManager(
             settings,
             self._beliefs,
             self._endpoints,
@@ -110,7 +110,9 @@
             drain,
             now,
         )
-        self._ports = ports.Ports(settings, self._peers, self.is_ready)
+        self._info_handlers = info_server.InfoHandlers(
+            settings, self._peers, self.is_ready
+        )
 
     def is_ready(self):
         """Tell whether callers should come here."""
@@ -121,22 +123,22 @@
         settings = self._settings
         start = self._group.start_soon
         for follower in (
-            following.configuration_follower(*self._known()),
-            following.fleet_follower(*self._known()),
+            topic_followers.configuration_follower(*self._known()),
+            topic_followers.fleet_follower(*self._known()),
         ):
             follower.share(self._peers)
             start(follower.run)
         start(self._meet_peers)
         start(self._peers.run)
-        start(self._stages.run)
+        start(self._stage_manager.run)
         start(self._caches.run)
         start(self._sweep)
         front = await tcp.listen(
             settings.callers, self._callers.serve, self._group
         )
         others = [
-            await ports.serve(address, handle, self._group)
-            for address, handle in self._ports.handlers()
+            await info_server.serve(address, handle, self._group)
+            for address, handle in self._info_handlers.handlers()
         ]
         _log.info(
             "started",
@@ -158,7 +160,7 @@
         the other, who learns of it by its first datagram.
         """
         await self._peers.register()
-        await following.peers_follower(
+        await topic_followers.peers_follower(
             self._settings, self._now, self._peers.take, self._met
         ).run()
 
--- a/clementinewall/gateway/stages.py
+++ b/clementinewall/gateway/stage_manager.py
@@ -11,9 +11,9 @@
 from clementinewall import clock
 from clementinewall import domain
 from clementinewall import errors
+from clementinewall.gateway import cooldowns
 from clementinewall.gateway import endpoints as endpoints_module
 from clementinewall.gateway import lease as lease_module
-from clementinewall.gateway import rests
 from clementinewall.gateway import sending
 from clementinewall.http1 import client
 from clementinewall import logs
@@ -49,7 +49,7 @@
 BUSY_MS = 500
 
 
-class StageKeeper:
+class StageManager:
     """Watches the stages of all model services and changes them."""
 
     def __init__(self, settings, beliefs, endpoints, peers, is_ready, ticker):
@@ -65,7 +65,7 @@
         self._why = None
         self._look_at = 0
         self._release_at = 0
-        self._rests = rests.Rests(ticker.now)
+        self._cooldowns = cooldowns.Cooldowns(ticker.now)
         self._resting_by_service = {}
 
     async def run(self):
@@ -98,7 +98,7 @@
     async def _release(self):
         """Give the lease back once the orders given under it had effect."""
         now = self._clock.now()
-        if self._rests.has_order or now < self._release_at:
+        if self._cooldowns.has_pending_order or now < self._release_at:
             return
         try:
             await self._lease.release()
@@ -170,14 +170,15 @@
         """Tell whether so many engines are away that no other may be."""
         resting = {}
         for state in states:
-            rest = self._rests.find(state.endpoint.id)
-            if rest and rest.kind is not rests.Kind.UNREACHABLE:
+            rest = self._cooldowns.active(state.endpoint.id)
+            if rest and rest.cause is not cooldowns.Cause.UNREACHABLE:
                 resting[state.endpoint.id] = rest
         if len(resting) < max(1, len(states) // AWAY_PART):
             self._resting_by_service.pop(service.name, None)
             return False
         if change.is_pressing and all(
-            rest.kind is rests.Kind.UNANSWERED for rest in resting.values()
+            rest.cause is cooldowns.Cause.UNANSWERED
+            for rest in resting.values()
         ):
             return False
         self._note_resting(service, sorted(resting))
@@ -192,7 +193,7 @@
             "no change while engines are away for one",
             service=service.name,
             left_ms_by_engine={
-                name: self._rests.left_ms(name) for name in names
+                name: self._cooldowns.remaining_ms(name) for name in names
             },
         )
 
@@ -202,13 +203,13 @@
             for peer in self._peers.table.states()
             if state.endpoint.id in peer.work_by_endpoint
         )
-        rest = self._rests.find(state.endpoint.id)
+        rest = self._cooldowns.active(state.endpoint.id)
         stage = state.endpoint.stage
         is_lost = state.is_lost()
         if rest is not None:
             # Its record shows the new stage only when the change is over.
             stage = rest.stage or stage
-            is_lost = rest.kind is not rests.Kind.SETTLING
+            is_lost = rest.cause is not cooldowns.Cause.SETTLING
         return stages.Engine(
             state.endpoint.id,
             stage == domain.PREFILL,
@@ -266,8 +267,11 @@
         Given again, the same change would begin anew.
         """
         _log.info("engine is at an order already", engine=change.id)
-        self._rests.begin(
-            state.endpoint.id, rests.Kind.SETTLING, BUSY_MS, _stage(change)
+        self._cooldowns.start(
+            state.endpoint.id,
+            cooldowns.Cause.SETTLING,
+            BUSY_MS,
+            _stage(change),
         )
 
     async def _send(self, state, change, sequence):
@@ -299,20 +303,20 @@
             state.away_until = self._clock.now() + service.engine.switch_ms
             self._peers.tell()
         stage = _stage(change) if status in ACCEPTED else None
-        self._rests.begin(
-            state.endpoint.id, rests.Kind.SETTLING, rest_ms, stage
+        self._cooldowns.start(
+            state.endpoint.id, cooldowns.Cause.SETTLING, rest_ms, stage
         )
 
     def _note_failure(self, state, exc, is_sent):
         """Leave the engine alone, for long only if the order may arrive."""
-        kind, rest_ms = rests.Kind.UNREACHABLE, UNREACHABLE_MS
+        kind, rest_ms = cooldowns.Cause.UNREACHABLE, UNREACHABLE_MS
         if is_sent and not _surely_not_run(exc):
-            kind, rest_ms = rests.Kind.UNANSWERED, UNANSWERED_MS
+            kind, rest_ms = cooldowns.Cause.UNANSWERED, UNANSWERED_MS
         else:
             is_absent = isinstance(exc, client.LinkBroken) and exc.absent
             state.health.failed(self._clock.now(), is_absent)
         metrics.count("orders", status=kind.value)
-        self._rests.begin(state.endpoint.id, kind, rest_ms)
+        self._cooldowns.start(state.endpoint.id, kind, rest_ms)
         _log.warning(
             "order failed",
             engine=state.endpoint.id,
--- a/tests/gateway/test_stages.py
+++ b/tests/gateway/test_stage_manager.py
@@ -9,7 +9,7 @@
 from clementinewall import clock
 from clementinewall import domain
 from clementinewall.gateway import endpoints
-from clementinewall.gateway import stages
+from clementinewall.gateway import stage_manager
 from clementinewall.http1 import client
 from clementinewall.http1 import messages
 from clementinewall import verdicts
@@ -62,7 +62,7 @@
             tell=lambda: None,
             table=types.SimpleNamespace(states=list),
         )
-        self.keeper = stages.StageKeeper(
+        self.keeper = stage_manager.StageManager(
             SETTINGS,
             self.beliefs,
             endpoints.Endpoints(self.beliefs, self.clock.now),
@@ -100,8 +100,8 @@
 
     def look_for(self, ms):
         """Let the keeper look as often as it does in so many ms."""
-        for _ in range(ms // stages.LOOK_MS):
-            self.clock.advance(stages.LOOK_MS)
+        for _ in range(ms // stage_manager.LOOK_MS):
+            self.clock.advance(stage_manager.LOOK_MS)
             anyio.run(self.keeper.look)
 
     def test_an_engine_that_refuses_connections_delays_no_other_order(self):
@@ -141,7 +141,7 @@
         self.engine("a", domain.PREFILL, DARK)
         self.look_for(1_000)
         self.report_by_id["a"] = {"sequence": 0}
-        self.look_for(2 * stages.UNREACHABLE_MS)
+        self.look_for(2 * stage_manager.UNREACHABLE_MS)
         self.assertEqual(self.ordered, ["a"])
 
     def test_an_order_that_is_carried_out_is_not_given_again(self):
--- a/tests/gateway/test_following.py
+++ b/tests/gateway/test_topic_followers.py
@@ -12,8 +12,8 @@
 from clementinewall import domain
 from clementinewall import errors
 from clementinewall.gateway import beliefs
-from clementinewall.gateway import following
 from clementinewall.gateway import news as news_module
+from clementinewall.gateway import topic_followers
 from clementinewall.platform import records
 from clementinewall.platform import store
 
@@ -91,7 +91,9 @@
 
     def __init__(self, log, now):
         self.beliefs = beliefs.Beliefs(now)
-        self.follower = following.fleet_follower(SETTINGS, now, self.beliefs)
+        self.follower = topic_followers.fleet_follower(
+            SETTINGS, now, self.beliefs
+        )
         self.follower._store = log
         self.peers = _Peers()
         self.follower.share(self.peers)
@@ -258,7 +260,7 @@
         # operators may write 25 of them within two seconds.  Meanwhile
         # callers of this gateway would wait.
         known = beliefs.Beliefs(self.clock.now)
-        follower = following.configuration_follower(
+        follower = topic_followers.configuration_follower(
             SETTINGS, self.clock.now, known
         )
         follower._store = self.log
--- a/tests/integration/gateway_base.py
+++ b/tests/integration/gateway_base.py
@@ -74,7 +74,7 @@
             content=raw,
         ).raise_for_status()
 
-    def mode(self, mode):
+    def set_store_mode(self, mode):
         """Set what goes wrong at the store."""
         self.http.post(
             f"http://{self.store}/standin/mode", json={"mode": mode}
@@ -128,11 +128,13 @@
 
     def gateway(self, name="gateway-1", **bounds):
         """Start a gateway and wait until it is ready."""
-        front = self.start_only(name, **bounds)
+        front = self.start_without_waiting(name, **bounds)
         bringup.wait_until(lambda: self.is_ready(name), what=name)
         return front
 
-    def start_only(self, name="gateway-1", ip="127.0.0.1", **bounds):
+    def start_without_waiting(
+        self, name="gateway-1", ip="127.0.0.1", **bounds
+    ):
         """Start a gateway and return where it takes callers."""
         listen = {
             "front": f"{ip}:{bringup.free_port()}",
--- a/tests/integration/test_gateway_budget.py
+++ b/tests/integration/test_gateway_budget.py
@@ -27,7 +27,7 @@
         self.publish(gateway_base.route("look", "app", "safe", max_attempts=3))
         self.endpoints = [self.endpoint(name, fail) for name in "abc"]
         self.fronts = [
-            self.start_only(
+            self.start_without_waiting(
                 name,
                 f"127.0.0.{number}",
                 budget_ratio=RATIO,
--- a/tests/integration/test_gateway_draining.py
+++ b/tests/integration/test_gateway_draining.py
@@ -8,13 +8,13 @@
 from standins import scripted
 from tests.integration import base
 from tests.integration import gateway_base
-from tests.integration import test_gateway_life
+from tests.integration import test_gateway_lifecycle
 
 route = gateway_base.route
-long_answer = test_gateway_life.long_answer
-slow = test_gateway_life.slow
+long_answer = test_gateway_lifecycle.long_answer
+slow = test_gateway_lifecycle.slow
 
-MODEL_HEADERS = test_gateway_life.MODEL_HEADERS
+MODEL_HEADERS = test_gateway_lifecycle.MODEL_HEADERS
 PREFILLED = b'{"cache_handle": "h1", "token_count": 9, "version": 1}'
 
 
--- a/tests/integration/test_gateway_life.py
+++ b/tests/integration/test_gateway_lifecycle.py
@@ -210,11 +210,11 @@
         self.endpoint("one", slow(0))
         front = self.gateway()
         for mode in ("busy", "silent"):
-            self.mode(mode)
+            self.set_store_mode(mode)
             time.sleep(2)
             self.assertEqual(self.ask(front, "/book/x").status_code, 200)
             self.assertTrue(self.is_ready("gateway-1"))
-        self.mode("ok")
+        self.set_store_mode("ok")
         self.publish(route("new", "app", "safe"))
         bringup.wait_until(
             lambda: self.ask(front, "/new/x").status_code == 200,
@@ -263,11 +263,11 @@
     def test_without_a_configuration_requests_get_503(self):
         # A process that starts while the store is away knows no route.  It
         # must not say 404 for what operators allow.
-        self.mode("busy")
-        front = self.start_only()
+        self.set_store_mode("busy")
+        front = self.start_without_waiting()
         answer = self.until_listening(front)
         self.assertEqual(answer.status_code, 503)
-        self.mode("ok")
+        self.set_store_mode("ok")
         self.endpoint("one", slow(0))
         bringup.wait_until(
             lambda: self.ask(front, "/book/x").status_code == 200,
--- a/tests/integration/test_gateway_peers.py
+++ b/tests/integration/test_gateway_peers.py
@@ -23,8 +23,8 @@
     def both(self):
         """Start two gateways and wait until they have heard each other."""
         fronts = [
-            self.start_only("gateway-1", "127.0.0.1"),
-            self.start_only("gateway-2", "127.0.0.2"),
+            self.start_without_waiting("gateway-1", "127.0.0.1"),
+            self.start_without_waiting("gateway-2", "127.0.0.2"),
         ]
         bringup.wait_until(
             lambda: (
--- a/tests/integration/test_gateway_stages.py
+++ b/tests/integration/test_gateway_stages.py
@@ -69,7 +69,7 @@
         )
         self.engines = [StagedEngine(self, name) for name in ("one", "two")]
         self.fronts = [
-            self.start_only(name, f"127.0.0.{number}")
+            self.start_without_waiting(name, f"127.0.0.{number}")
             for number, name in enumerate(NAMES, 1)
         ]
         self.reading = bringup.wait_until(
--- a/tests/integration/test_signals.py
+++ b/tests/integration/test_signals.py
@@ -212,7 +212,7 @@
         taken = ("127.0.0.1", self._peer_port())
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as other:
             other.bind(taken)
-            self.start_only()
+            self.start_without_waiting()
             self.assertEqual(self.dep.wait_end("gateway-1", 10), 2)
         told = self.dep.log_of("gateway-1")
         self.assertIn("cannot listen on %s:%d" % taken, told)
@@ -221,8 +221,8 @@
     def test_a_gateway_whose_store_is_away_stops_when_told(self):
         for mode in ("busy", "silent"):
             with self.subTest(mode):
-                self.mode(mode)
-                front = self.start_only()
+                self.set_store_mode(mode)
+                front = self.start_without_waiting()
                 bringup.wait_until(lambda: self._listens(front), what="start")
                 self.send(signal.SIGHUP, signal.SIGTERM, signal.SIGHUP)
                 self.assertEqual(self.dep.wait_end("gateway-1", 5), 0)
