--- a/bench/slopes_membership.py
+++ b/bench/slopes_membership.py
@@ -60,7 +60,7 @@
             _message(table)
             for raw in raws:
                 for beat in CODEC.decode(raw).beats:
-                    table.merge_beat(beat)
+                    table.merge_heartbeat(beat)
 
         points.append((count, slope.cpu_us(work, 20)))
     return slope.Slope("gossip cpu", "us", "member", "in process", points)
@@ -82,7 +82,7 @@
     points = []
     for count in (10, 50, 100, 200):
         now = clock.ManualClock()
-        table = crashes.Crashes(now.now)
+        table = crashes.CrashTable(now.now)
         for number in range(count):
             table.add(f"{number:024x}", "engine-1")
 
--- a/clementinewall/entry/calls.py
+++ b/clementinewall/entry/calls.py
@@ -175,7 +175,7 @@
             conclude("not_run" if is_free else "in_doubt")
             raise
         body = answer.body
-        if len(body) > bookings.KEPT_BODY_LIMIT:
+        if len(body) > bookings.MAX_KEPT_BODY_CHARS:
             body = ""
         conclude(
             "ran",
--- a/clementinewall/entry/crash_guard.py
+++ b/clementinewall/entry/crash_guard.py
@@ -93,7 +93,7 @@
         # Without telling first, the caller's copy at another entry would
         # find an endpoint before the mark does.
         with anyio.move_on_after(clock.seconds(SPREAD_MS)):
-            await self._node.gossip.spread()
+            await self._node.gossip.announce()
         await anyio.sleep(clock.seconds(SETTLE_MS))
 
     async def _is_up(self, name):
--- a/clementinewall/entry/partition.py
+++ b/clementinewall/entry/partition.py
@@ -33,7 +33,7 @@
 
     def __init__(self, number, node):
         """Prepare the partition ``number``; ``run`` starts it."""
-        self._stream = bookings.stream_of(number)
+        self._stream = bookings.stream_name(number)
         self._node = node
         self._intents = collections.deque()
         self._outcomes = collections.deque(maxlen=OUTCOMES_LIMIT)
@@ -52,7 +52,7 @@
 
     def kept(self, key):
         """Return what is remembered of the key, or ``None``."""
-        return self.table.kept_by_key.get(key)
+        return self.table.booking_by_key.get(key)
 
     async def wait_ready(self, timeout_ms):
         """Wait until the whole stream is read.
--- a/clementinewall/gateway/guard.py
+++ b/clementinewall/gateway/guard.py
@@ -26,7 +26,7 @@
 
     def __init__(self, now):
         """Begin without marks."""
-        self._table = crashes.Crashes(now)
+        self._table = crashes.CrashTable(now)
 
     def check(self, call):
         """Refuse a request that crashed two endpoints.
--- a/clementinewall/log/client.py
+++ b/clementinewall/log/client.py
@@ -26,7 +26,7 @@
     record: typing.Any
 
 
-class Folded(typing.NamedTuple):
+class RelayedState(typing.NamedTuple):
     """A relay's folded state in place of the records up to ``as_of``."""
 
     as_of: int
@@ -39,7 +39,7 @@
     first: int
     next: int
     records: tuple[Entry, ...]
-    snapshot: Folded | None = None
+    snapshot: RelayedState | None = None
 
 
 class LogClient:
--- a/clementinewall/log/tail.py
+++ b/clementinewall/log/tail.py
@@ -20,11 +20,11 @@
 
 _log = logs.PartLog("tail")
 
-WAIT_MS = 1_000
-PAUSE_MS = 200
-RING_LIMIT = 5_000
+READ_WAIT_MS = 1_000
+RETRY_DELAY_MS = 200
+MAX_RELAYED_RECORDS = 5_000
 # The peers to draw from in an outage of the log.
-ANYBODY = 16
+MAX_OUTAGE_PEERS = 16
 
 
 class Tail:
@@ -39,7 +39,7 @@
         self._client = log_client
         self._members = members
         self._now = now
-        self._ring = collections.deque(maxlen=RING_LIMIT)
+        self._ring = collections.deque(maxlen=MAX_RELAYED_RECORDS)
         self._changed = anyio.Event()
         self._source_was = None
 
@@ -50,7 +50,7 @@
                 await self._step()
             except errors.ClementinewallError as exc:
                 self._say_failure(exc)
-                await anyio.sleep(clock.seconds(PAUSE_MS))
+                await anyio.sleep(clock.seconds(RETRY_DELAY_MS))
 
     async def wait_change(self, timeout_ms):
         """Wait for the next record, or until the time has passed."""
@@ -85,13 +85,13 @@
                 item for item in self._ring if item.offset >= start
             )
             return client.Batch(oldest, end, records[: client.READ_LIMIT])
-        folded = client.Folded(end - 1, self.state.dump())
+        folded = client.RelayedState(end - 1, self.state.dump())
         return client.Batch(end, end, (), folded)
 
     async def _step(self):
         source = self._pick_source()
         start = self.state.next
-        wait_ms = WAIT_MS if self.caught_up else 0
+        wait_ms = READ_WAIT_MS if self.caught_up else 0
         batch = await self._client.read(control.STREAM, start, wait_ms, source)
         if source is None:
             self.log_reachable = True
@@ -125,7 +125,7 @@
         if not self.log_reachable and self._source_was is None:
             # The log failed last time.  What this process lacks may be
             # known in another data centre only, so anybody is asked.
-            anybody = self._members.urgent_peers(ANYBODY)
+            anybody = self._members.urgent_peers(MAX_OUTAGE_PEERS)
             if anybody:
                 return random.choice(anybody)
         peers = self._members.relays()
--- a/clementinewall/membership/crashes.py
+++ b/clementinewall/membership/crashes.py
@@ -12,12 +12,12 @@
 
 from clementinewall.membership import members
 
-CRASHES_TO_END = 2
-REMEMBER_MS = 600_000
-WORKS_LIMIT = 2_000
-SOUND_LIMIT = 2_000
-MESSAGE_LIMIT = 8
-EXPIRE_EVERY_MS = 1_000
+MAX_CRASHES = 2
+RECORD_LIFETIME_MS = 600_000
+MAX_SUSPECTS = 2_000
+MAX_CLEARED = 2_000
+MAX_DIGESTS_PER_MESSAGE = 8
+EXPIRY_INTERVAL_MS = 1_000
 
 
 class _Mark(typing.NamedTuple):
@@ -25,7 +25,7 @@
     strong: bool
 
 
-class Crashes:
+class CrashTable:
     """The bounded table of marks.
 
     When an engine goes down, every request on it is marked.  A mark is
@@ -43,14 +43,14 @@
 
     def add(self, digest, endpoint, age_ms=0, strong=True):
         """Record a mark; return whether it is new."""
-        if age_ms >= REMEMBER_MS or digest in self._sound:
+        if age_ms >= RECORD_LIFETIME_MS or digest in self._sound:
             return False
         marks = self._by_digest.setdefault(digest, {})
         known = marks.get(endpoint)
         if known is not None and (known.strong or not strong):
             return False
         marks[endpoint] = _Mark(self._now() - age_ms, strong)
-        while len(self._by_digest) > WORKS_LIMIT:
+        while len(self._by_digest) > MAX_SUSPECTS:
             self._by_digest.popitem(last=False)
         return True
 
@@ -64,7 +64,7 @@
         self._by_digest.pop(digest, None)
         self._sound[digest] = True
         self._sound.move_to_end(digest)
-        while len(self._sound) > SOUND_LIMIT:
+        while len(self._sound) > MAX_CLEARED:
             self._sound.popitem(last=False)
 
     def merge(self, crashes):
@@ -87,13 +87,13 @@
 
     def is_harmful(self, digest):
         """Tell whether that work must get no further endpoint."""
-        return len(self.endpoints(digest)) >= CRASHES_TO_END
+        return len(self.endpoints(digest)) >= MAX_CRASHES
 
     def message(self):
         """Return the newest marks for a peer."""
         self._expire()
         now = self._now()
-        newest = list(self._by_digest.items())[-MESSAGE_LIMIT:]
+        newest = list(self._by_digest.items())[-MAX_DIGESTS_PER_MESSAGE:]
         return tuple(
             members.Crash(digest, endpoint, now - mark.born, mark.strong)
             for digest, marks in newest
@@ -111,8 +111,8 @@
         now = self._now()
         if now < self._expire_at:
             return
-        self._expire_at = now + EXPIRE_EVERY_MS
-        limit = now - REMEMBER_MS
+        self._expire_at = now + EXPIRY_INTERVAL_MS
+        limit = now - RECORD_LIFETIME_MS
         for digest, marks in list(self._by_digest.items()):
             left = {e: m for e, m in marks.items() if m.born > limit}
             if left:
@@ -123,4 +123,4 @@
 
 def _explains(marks, endpoint):
     strong = [name for name, mark in marks.items() if mark.strong]
-    return endpoint in strong and len(strong) >= CRASHES_TO_END
+    return endpoint in strong and len(strong) >= MAX_CRASHES
--- a/clementinewall/membership/gossip.py
+++ b/clementinewall/membership/gossip.py
@@ -83,7 +83,7 @@
             group.start_soon(self._write)
             await self._greet(in_force)
 
-    async def spread(self):
+    async def announce(self):
         """Tell several peers at once and wait until they know."""
         async with anyio.create_task_group() as group:
             for address in self._table.urgent_peers(URGENT_PEERS):
@@ -92,7 +92,7 @@
     async def _greet(self, in_force):
         period = self._settings.membership.gossip_ms
         while True:
-            self._table.beat(*in_force())
+            self._table.advance_heartbeat(*in_force())
             self._table.expire()
             self._round_number += 1
             peers = self._table.gossip_peers()
@@ -102,8 +102,8 @@
             for address in peers:
                 self._send(address, self._message(wire.HELLO))
             self._fresh_by_id -= collections.Counter(list(self._fresh_by_id))
-            spread = random.uniform(0.8, 1.2)
-            await anyio.sleep(clock.seconds(period) * spread)
+            jitter = random.uniform(0.8, 1.2)
+            await anyio.sleep(clock.seconds(period) * jitter)
 
     async def _tell(self, address):
         """Greet until the peer has replied, a few times at most."""
@@ -183,7 +183,7 @@
         unknown = [
             beat.id
             for beat in datagram.beats
-            if not self._table.merge_beat(beat)
+            if not self._table.merge_heartbeat(beat)
         ]
         self._crashes.merge(datagram.marks)
         if unknown:
--- a/clementinewall/membership/members.py
+++ b/clementinewall/membership/members.py
@@ -19,7 +19,7 @@
 # One round in so many also goes to another data centre or program.
 FOREIGN_SHARE = 3
 # How many of a rendezvous order may act before the rest need to.
-CANDIDATES = 3
+MAX_CANDIDATES = 3
 
 State = typing.Annotated[str, _schema.OneOf(("live", "leaving"))]
 
@@ -65,13 +65,13 @@
         self._member_by_id = {}
         self._moved_by_id = {}
 
-    def beat(self, version, offset):
+    def advance_heartbeat(self, version, offset):
         """Raise the own beat and tell what is in force here."""
         self.own = self.own._replace(
             beat=self.own.beat + 1, version=version, next=offset
         )
 
-    def leave(self):
+    def mark_draining(self):
         """Mark the own row as leaving."""
         self.own = self.own._replace(state="leaving", beat=self.own.beat + 1)
 
@@ -90,7 +90,7 @@
         )
         return same != row
 
-    def merge_beat(self, beat):
+    def merge_heartbeat(self, beat):
         """Take in a beat; return ``False`` if its row must be asked for."""
         if beat.id == self.own.id:
             return True
--- a/clementinewall/membership/wire.py
+++ b/clementinewall/membership/wire.py
@@ -22,7 +22,7 @@
 WANT = "want"
 
 
-class Beat(typing.NamedTuple):
+class Heartbeat(typing.NamedTuple):
     """What moves in a known member's row."""
 
     id: str
@@ -92,7 +92,7 @@
         and isinstance(row[0], str)
         and all(type(part) is int for part in row[1:])
     ):
-        return Beat(*row)
+        return Heartbeat(*row)
     raise errors.BadRecord("a beat has the wrong shape")
 
 
--- a/clementinewall/node.py
+++ b/clementinewall/node.py
@@ -39,7 +39,7 @@
         self.settings = settings
         self.clock = clock.Clock()
         self.boot = secrets.token_hex(BOOT_BYTES)
-        self.crashes = crashes.Crashes(self.clock.now)
+        self.crashes = crashes.CrashTable(self.clock.now)
         own = members.Member(
             id=f"{settings.instance.id}/{program}",
             program=program,
@@ -100,8 +100,8 @@
 
     async def leave(self):
         """Tell the peers that this process is leaving."""
-        self.members.leave()
-        await self.gossip.spread()
+        self.members.mark_draining()
+        await self.gossip.announce()
 
     def control_routes(self):
         """Return the routes of the control listener."""
@@ -125,7 +125,7 @@
         start = _web.read_number(request, "from", 0)
         wait_ms = _web.read_number(request, "wait_ms", 0)
         if start >= self.tail.state.next and wait_ms:
-            await self.tail.wait_change(min(wait_ms, tail.WAIT_MS))
+            await self.tail.wait_change(min(wait_ms, tail.READ_WAIT_MS))
         return responses.JSONResponse(_schema.plain(self.tail.relay(start)))
 
     async def _on_status(self, request):
--- a/clementinewall/operator/session.py
+++ b/clementinewall/operator/session.py
@@ -285,7 +285,7 @@
     in_force = {
         key: data
         for key, data in state.data_by_key.items()
-        if key.partition("/")[0] in configuration.PUBLISHED
+        if key.partition("/")[0] in configuration.PUBLISHED_PREFIXES
     }
     return tuple(
         Difference(key, in_force.get(key), wanted.get(key))
--- a/clementinewall/records/bookings.py
+++ b/clementinewall/records/bookings.py
@@ -17,7 +17,7 @@
 # Fixed for ever: a key that changed its partition would be taken for new.
 # 32 carry the size of docs/CAPACITY.md within the log's appends.
 PARTITIONS = 32
-KEPT_BODY_LIMIT = 16_384
+MAX_KEPT_BODY_CHARS = 16_384
 
 State = typing.Annotated[
     str, _schema.OneOf(("open", "ran", "not_run", "in_doubt"))
@@ -52,7 +52,7 @@
     kind: str = "bookings"
 
 
-class Kept(typing.NamedTuple):
+class Booking(typing.NamedTuple):
     """What is remembered of a key."""
 
     intent: Intent
@@ -62,7 +62,7 @@
     outcome: Outcome | None = None
 
 
-def stream_of(partition):
+def stream_name(partition):
     """Return the name of the partition's stream."""
     return f"bookings-{partition}"
 
@@ -108,12 +108,12 @@
         self.next = 0
         self.first = 0
         self.limit = limit
-        self.kept_by_key = collections.OrderedDict()
+        self.booking_by_key = collections.OrderedDict()
 
     @property
     def is_full(self):
         """Whether new keys must be refused."""
-        return len(self.kept_by_key) >= self.limit
+        return len(self.booking_by_key) >= self.limit
 
     def begin(self, first):
         """Forget the keys whose intents the log no longer holds.
@@ -123,11 +123,11 @@
         """
         self.first = max(self.first, first)
         self.next = max(self.next, first)
-        while self.kept_by_key:
-            key, kept = next(iter(self.kept_by_key.items()))
+        while self.booking_by_key:
+            key, kept = next(iter(self.booking_by_key.items()))
             if kept.offset >= self.first:
                 return
-            del self.kept_by_key[key]
+            del self.booking_by_key[key]
 
     def apply(self, offset, data):
         """Fold the record at ``offset`` in."""
@@ -148,14 +148,16 @@
         return ticket is not None and ticket[1] < self.first
 
     def _apply_intent(self, offset, intent, by):
-        kept = self.kept_by_key.get(intent.key)
+        kept = self.booking_by_key.get(intent.key)
         if kept is not None and kept.state != "not_run":
             return
-        self.kept_by_key[intent.key] = Kept(intent, offset, sys.intern(by))
-        self.kept_by_key.move_to_end(intent.key)
+        self.booking_by_key[intent.key] = Booking(
+            intent, offset, sys.intern(by)
+        )
+        self.booking_by_key.move_to_end(intent.key)
 
     def _apply_outcome(self, outcome):
-        kept = self.kept_by_key.get(outcome.key)
+        kept = self.booking_by_key.get(outcome.key)
         if kept is None or kept.intent.id != outcome.id:
             return
         if kept.state == "open":
@@ -166,6 +168,6 @@
                 key=kept.intent.key,
                 media_type=sys.intern(outcome.media_type),
             )
-            self.kept_by_key[outcome.key] = kept._replace(
+            self.booking_by_key[outcome.key] = kept._replace(
                 state=outcome.state, outcome=shared
             )
--- a/clementinewall/records/configuration.py
+++ b/clementinewall/records/configuration.py
@@ -14,7 +14,7 @@
 from clementinewall import errors
 from clementinewall import settings
 
-Share = typing.Annotated[float, _schema.Range(0.0, 1_000_000.0)]
+NonNegative = typing.Annotated[float, _schema.Range(0.0, 1_000_000.0)]
 
 
 class WorkClass(typing.NamedTuple):
@@ -61,7 +61,7 @@
     each second of an engine that a role change takes away.
     """
 
-    change_price: Share = 1.0
+    change_price: NonNegative = 1.0
     change_ms: settings.Millis = 8_000
     horizon_ms: settings.Millis = 120_000
     min_prefill: typing.Annotated[int, _schema.Range(0, 1_000)] = 1
@@ -85,7 +85,7 @@
     "assignment": Assignment,
 }
 # Keys that operators publish; the planner's own keys are not among them.
-PUBLISHED = ("class", "endpoint", "policy")
+PUBLISHED_PREFIXES = ("class", "endpoint", "policy")
 
 
 def read_value(key, data):
@@ -115,12 +115,14 @@
     for prefix, data in document.items():
         if prefix == "policy":
             by_key["policy"] = data
-        elif prefix in PUBLISHED and isinstance(data, dict):
+        elif prefix in PUBLISHED_PREFIXES and isinstance(data, dict):
             for name, value in data.items():
                 by_key[f"{prefix}/{name}"] = value
         else:
             mistakes.append(
-                _schema.Mistake(prefix, repr(prefix), ", ".join(PUBLISHED))
+                _schema.Mistake(
+                    prefix, repr(prefix), ", ".join(PUBLISHED_PREFIXES)
+                )
             )
     for key, data in by_key.items():
         mistakes.extend(read_value(key, data)[1])
--- a/clementinewall/records/control.py
+++ b/clementinewall/records/control.py
@@ -81,7 +81,7 @@
     kind: str = "snapshot"
 
 
-class Held(typing.NamedTuple):
+class Lease(typing.NamedTuple):
     """The current claim on a scope; its offset is the fencing token.
 
     ``address`` is the holder's control address: with it in the claim, no
@@ -260,7 +260,7 @@
             return f"{record.scope} is not claimed"
         if held is not None and held.renewed != record.after:
             return f"{record.scope} was renewed at {held.renewed}"
-        self.held_by_scope[record.scope] = Held(
+        self.held_by_scope[record.scope] = Lease(
             offset, record.holder, record.boot, record.address, offset
         )
         return ""
@@ -321,7 +321,7 @@
     version: int
     data_by_key: dict[str, typing.Any]
     offset_by_key: dict[str, int]
-    held_by_scope: dict[str, Held]
+    held_by_scope: dict[str, Lease]
 
 
 def _load(state):
--- a/clementinewall/steward/fleet.py
+++ b/clementinewall/steward/fleet.py
@@ -21,12 +21,12 @@
 
 
 class Fleet:
-    """Reads reports and sends orders in the scopes of the keeper."""
+    """Reconciles the engines of the scopes that this process holds."""
 
-    def __init__(self, node, keeper, sender):
-        """Use the node's configuration and the keeper's leases."""
+    def __init__(self, node, lease_manager, sender):
+        """Use the node's configuration and the leases of the lease manager."""
         self._node = node
-        self._keeper = keeper
+        self._lease_manager = lease_manager
         self._sender = sender
         self._http = _http.client(REPORT_TIMEOUT_MS)
         self._said_by_id = {}
@@ -63,7 +63,7 @@
         shards = view.policy.shards
         for name, endpoint in view.endpoints_by_id.items():
             scope = scopes.scope_of(name, endpoint.data_centre, shards)
-            if self._keeper.holds(scope):
+            if self._lease_manager.holds(scope):
                 yield name, endpoint
 
     def _wanted(self, name, endpoint):
@@ -108,7 +108,7 @@
         the process the lowest id goes first.
         """
         for model in endpoint.serves:
-            if not self._keeper.holds(scopes.change_scope(model)):
+            if not self._lease_manager.holds(scopes.change_scope(model)):
                 return False
         for other, row in self._mine():
             report = self.report_by_id.get(other)
--- a/clementinewall/steward/keeper.py
+++ b/clementinewall/steward/lease_manager.py
@@ -19,7 +19,7 @@
 READ_BACK_MS = 3_000
 
 
-class Keeper:
+class LeaseManager:
     """Holds the scopes that this process wants, as far as others let it."""
 
     def __init__(self, node):
--- a/clementinewall/steward/orders.py
+++ b/clementinewall/steward/orders.py
@@ -56,10 +56,10 @@
 class OrderSender:
     """Owns the connections for orders; one per steward."""
 
-    def __init__(self, node, keeper):
-        """Use the node's members and the keeper's leases."""
+    def __init__(self, node, lease_manager):
+        """Use the node's members and the leases of the lease manager."""
         self._node = node
-        self._keeper = keeper
+        self._lease_manager = lease_manager
         leases = node.settings.leases
         self._timeout = clock.seconds(leases.order_timeout_ms)
         self._http = _http.client(
@@ -79,9 +79,9 @@
         :raises EndpointFailed: with the verdict for where it broke.
         """
         endpoint = self._node.view.endpoints_by_id[endpoint_id]
-        if not self._keeper.holds(scope):
+        if not self._lease_manager.holds(scope):
             raise errors.LeaseLost(f"the lease on {scope} runs out")
-        fence = self._keeper.table.fence(scope)
+        fence = self._lease_manager.table.fence(scope)
         order = Order(endpoint_id, scope, fence, kind, value)
         self._check_doubt(endpoint_id)
         self._pause_if_asked()
@@ -170,7 +170,7 @@
             raise errors.BadRecord(str(mistakes[0]))
         if order.endpoint not in self._node.view.endpoints_by_id:
             raise errors.BadRecord(f"no endpoint {order.endpoint!r}")
-        table = self._keeper.table
+        table = self._lease_manager.table
         table.observe(self._node.tail.state)
         if not table.is_current(order.scope, order.fence):
             _log.warning(
--- a/clementinewall/steward/planner.py
+++ b/clementinewall/steward/planner.py
@@ -39,10 +39,10 @@
 class Planner:
     """Plans the roles while this process holds the planner's scope."""
 
-    def __init__(self, node, keeper):
-        """Use the node's configuration and log, and the keeper's leases."""
+    def __init__(self, node, lease_manager):
+        """Use the node's configuration, its log and its leases."""
         self._node = node
-        self._keeper = keeper
+        self._lease_manager = lease_manager
         self._http = _http.client(REPORT_TIMEOUT_MS)
         self._last_by_id = {}
         self._plan_by_model = {}
@@ -53,7 +53,7 @@
         """Plan for ever."""
         while True:
             await anyio.sleep(clock.seconds(ROUND_MS))
-            if self._keeper.holds(scopes.PLANNER):
+            if self._lease_manager.holds(scopes.PLANNER):
                 await self._round()
             else:
                 self._last_by_id.clear()
--- a/clementinewall/steward/program.py
+++ b/clementinewall/steward/program.py
@@ -8,7 +8,7 @@
 from clementinewall import logs
 from clementinewall import node
 from clementinewall.steward import fleet
-from clementinewall.steward import keeper
+from clementinewall.steward import lease_manager
 from clementinewall.steward import orders
 from clementinewall.steward import planner
 from clementinewall.steward import scopes
@@ -25,11 +25,11 @@
     def __init__(self, life):
         """Take the life cycle of the process."""
         self.node = node.Node(life, "steward")
-        self.keeper = keeper.Keeper(self.node)
-        self.sender = orders.OrderSender(self.node, self.keeper)
-        self.fleet = fleet.Fleet(self.node, self.keeper, self.sender)
-        self.planner = planner.Planner(self.node, self.keeper)
-        self.snapshots = snapshots.Snapshots(self.node, self.keeper)
+        self.lease_manager = lease_manager.LeaseManager(self.node)
+        self.sender = orders.OrderSender(self.node, self.lease_manager)
+        self.fleet = fleet.Fleet(self.node, self.lease_manager, self.sender)
+        self.planner = planner.Planner(self.node, self.lease_manager)
+        self.snapshots = snapshots.Snapshots(self.node, self.lease_manager)
 
     async def run(self):
         """Serve until asked to stop, then give the scopes up."""
@@ -41,7 +41,7 @@
             await self.node.run(group)
             group.start_soon(_web.serve, control, address, self.node.closed)
             group.start_soon(self._want)
-            group.start_soon(self.keeper.run)
+            group.start_soon(self.lease_manager.run)
             group.start_soon(self.fleet.run)
             group.start_soon(self.planner.run)
             group.start_soon(self.snapshots.run)
@@ -49,7 +49,7 @@
             self.node.life.note(lifecycle.Event.STARTED)
             await self.node.stopping.wait()
             await self.node.leave()
-            await self.keeper.release_all()
+            await self.lease_manager.release_all()
             _log.info("drained")
             self.node.closed.set()
             await anyio.sleep(clock.seconds(100))
@@ -57,10 +57,10 @@
         return lifecycle.Event.DRAINED
 
     async def _want(self):
-        """Keep telling the keeper which scopes to hold."""
+        """Keep telling the lease manager which scopes to hold."""
         while not self.node.stopping.is_set():
             if self.node.is_ready():
-                self.keeper.want(self._wanted())
+                self.lease_manager.want(self._wanted())
             await anyio.sleep(clock.seconds(WANT_MS))
 
     def _wanted(self):
@@ -74,7 +74,7 @@
         }
         for model in self.fleet.changes_wanted():
             patience[scopes.change_scope(model)] = 0
-        held = self.keeper.table.own_scopes()
+        held = self.lease_manager.table.own_scopes()
         return {
             scope: wait
             for scope, wait in patience.items()
--- a/clementinewall/steward/scopes.py
+++ b/clementinewall/steward/scopes.py
@@ -53,10 +53,10 @@
     order = members.rendezvous(scope, home)
     if table.own.id in order:
         rank = order.index(table.own.id)
-        return rank * PATIENCE_MS if rank < members.CANDIDATES else None
+        return rank * PATIENCE_MS if rank < members.MAX_CANDIDATES else None
     order = members.rendezvous(scope, away)
     if table.own.id in order:
         rank = order.index(table.own.id)
-        if rank < members.CANDIDATES:
+        if rank < members.MAX_CANDIDATES:
             return FAR_PATIENCE_MS + rank * PATIENCE_MS
     return None
--- a/clementinewall/steward/snapshots.py
+++ b/clementinewall/steward/snapshots.py
@@ -27,10 +27,10 @@
 class Snapshots:
     """Writes snapshots while this process holds their scope."""
 
-    def __init__(self, node, keeper):
-        """Use the node's log and state, and the keeper's leases."""
+    def __init__(self, node, lease_manager):
+        """Use the node's log and state, and its leases."""
         self._node = node
-        self._keeper = keeper
+        self._lease_manager = lease_manager
         self._seen = control.NO_OFFSET
         self._seen_at = node.clock.now()
 
@@ -38,7 +38,7 @@
         """Write snapshots for ever."""
         while True:
             await anyio.sleep(clock.seconds(ROUND_MS))
-            if self._is_due() and self._keeper.holds(scopes.SNAPSHOTS):
+            if self._is_due() and self._lease_manager.holds(scopes.SNAPSHOTS):
                 await self._write()
 
     def _is_due(self):
--- a/tests/entry/test_crash_guard.py
+++ b/tests/entry/test_crash_guard.py
@@ -27,7 +27,7 @@
 
     def __init__(self, crashed):
         """Know that the work crashed the engines ``crashed``."""
-        self.crashes = crashes.Crashes(clock.ManualClock().now)
+        self.crashes = crashes.CrashTable(clock.ManualClock().now)
         for digest, engine in crashed:
             self.crashes.add(digest, engine)
 
--- a/tests/membership/test_crashes.py
+++ b/tests/membership/test_crashes.py
@@ -13,7 +13,7 @@
     def setUp(self):
         """Know of no crash."""
         self.clock = clock.ManualClock()
-        self.table = crashes.Crashes(self.clock.now)
+        self.table = crashes.CrashTable(self.clock.now)
 
     def test_two_crashed_endpoints_make_work_harmful(self):
         self.table.add("poison", "e1")
@@ -41,7 +41,7 @@
         # The table is bounded; work that nobody asked for since then may be
         # marked again.
         self.table.clear("old")
-        for number in range(crashes.SOUND_LIMIT):
+        for number in range(crashes.MAX_CLEARED):
             self.table.clear(f"w{number}")
         self.table.add("old", "e1")
         self.table.add("old", "e2")
--- a/tests/records/test_bookings.py
+++ b/tests/records/test_bookings.py
@@ -36,7 +36,7 @@
     )
     def announce(self, p, key, copies):
         """Append an intent, or append it twice, or lose it."""
-        kept = self.table[p].kept_by_key.get(key)
+        kept = self.table[p].booking_by_key.get(key)
         if kept is not None and kept.state != "not_run":
             return
         self.serial += 1
@@ -61,7 +61,7 @@
         return [p for p in PROCESSES if self.table[p].next < end]
 
     def _dispatch(self, p, ran):
-        for key, kept in self.table[p].kept_by_key.items():
+        for key, kept in self.table[p].booking_by_key.items():
             intent = self.own[p].pop(kept.intent.id, None)
             if intent is None or kept.state != "open":
                 continue
@@ -105,7 +105,7 @@
         table.apply(5, _schema.plain(bookings.Commit("p", (intent,))))
         self.assertFalse(table.is_expired(ticket))
         table.begin(6)
-        self.assertNotIn(ticket, table.kept_by_key)
+        self.assertNotIn(ticket, table.booking_by_key)
         self.assertTrue(table.is_expired(ticket))
         self.assertEqual(3, bookings.partition_of(ticket))
 
@@ -119,7 +119,7 @@
         late = bookings.Outcome("2", "k", "not_run")
         table.apply(0, _schema.plain(bookings.Commit("p", (first,))))
         table.apply(1, _schema.plain(bookings.Commit("q", (), (late,))))
-        self.assertEqual("open", table.kept_by_key["k"].state)
+        self.assertEqual("open", table.booking_by_key["k"].state)
 
     @hypothesis.given(st.text(max_size=40))
     def test_any_key_has_a_partition(self, key):
