--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -19,7 +19,7 @@
 import docopt
 
 from clementinewall.gateway import peer_messages
-from clementinewall.policy import reading_queue
+from clementinewall.policy import prefill_queue
 from standins import scripted
 from tests.integration import gateway_base
 from tests.integration import test_gateway_streams as streams
@@ -96,7 +96,7 @@
 def _datagrams(port):
     """Return work that sends a peer's state, with new work each time."""
     now = time.monotonic_ns() // 1_000_000
-    jobs = (reading_queue.Job(1, 33.0, now),) * 2
+    jobs = (prefill_queue.Job(1, 33.0, now),) * 2
     work = {f"i-{n:08x}": peer_messages.Work(jobs, 4, now) for n in range(4)}
     sign = peer_messages.Sign(PEER_IP, f"{PEER_IP}:1", "a", True, now)
     state = peer_messages.State(sign, work, {})
--- a/bench/replay.py
+++ b/bench/replay.py
@@ -18,8 +18,8 @@
 from clementinewall.entry import shares
 from clementinewall.membership import members
 from clementinewall.policy import admission
+from clementinewall.policy import load_tracking
 from clementinewall.policy import routing
-from clementinewall.policy import tracking
 from clementinewall.records import configuration
 
 ENTRIES = 8
@@ -84,7 +84,7 @@
             self.engines[engine.name] = engine
         self.drained = set()
         self.trackers = [
-            {name: tracking.Tracker() for name in self.engines}
+            {name: load_tracking.Tracker() for name in self.engines}
             for _ in range(ENTRIES)
         ]
         self.hints = [{} for _ in range(ENTRIES)]
--- a/clementinewall/entry/loads.py
+++ b/clementinewall/entry/loads.py
@@ -20,7 +20,7 @@
 from clementinewall import errors
 from clementinewall import logs
 from clementinewall.membership import members
-from clementinewall.policy import tracking
+from clementinewall.policy import load_tracking
 from clementinewall import verdicts
 
 _log = logs.PartLog("load")
@@ -53,7 +53,7 @@
         """Read the configuration in force and the clock of ``node``."""
         self._node = node
         self._polls = node.settings.polls
-        self._seen_by_id = collections.defaultdict(tracking.Tracker)
+        self._seen_by_id = collections.defaultdict(load_tracking.Tracker)
         self._endpoint_by_prefix = collections.OrderedDict()
         self._known_index = None
         self._http = _http.client(POLL_TIMEOUT_MS)
--- a/clementinewall/entry/model.py
+++ b/clementinewall/entry/model.py
@@ -23,7 +23,7 @@
 from clementinewall import logs
 from clementinewall import metrics
 from clementinewall.policy import admission
-from clementinewall.policy import budget
+from clementinewall.policy import retry_budget
 from clementinewall.policy import routing
 from clementinewall import verdicts
 
@@ -63,7 +63,7 @@
         self._loads = loads
         self._shares = shares
         self._http = attempt.stream_client()
-        self._budgets = collections.defaultdict(budget.RetryBudget)
+        self._budgets = collections.defaultdict(retry_budget.RetryBudget)
 
     async def watch(self):
         """Run the watchdog of all streams for ever."""
--- a/clementinewall/gateway/endpoints.py
+++ b/clementinewall/gateway/endpoints.py
@@ -6,9 +6,9 @@
 from clementinewall.gateway import peer_messages
 from clementinewall.http1 import client
 from clementinewall import logs
-from clementinewall.policy import reading_queue
-from clementinewall.policy import reading_scale
-from clementinewall.policy import speed
+from clementinewall.policy import endpoint_health
+from clementinewall.policy import prefill_queue
+from clementinewall.policy import prefill_scale
 
 _log = logs.PartLog("endpoint")
 
@@ -28,7 +28,7 @@
         self._now = now
         self._quiet_since = None
         self.pool = client.Pool(endpoint.address, now, CONNECT_TIMEOUT_MS)
-        self.health = speed.Health()
+        self.health = endpoint_health.Health()
         self.open = 0
         self.streams = 0
         self.jobs = []
@@ -80,7 +80,7 @@
 
     def begin_prompt(self, urgency, cost_ms):
         """Note a prompt that is sent now; return it for its end."""
-        job = reading_queue.Job(urgency, cost_ms, self._now())
+        job = prefill_queue.Job(urgency, cost_ms, self._now())
         self.jobs.append(job)
         return job
 
@@ -107,7 +107,7 @@
         self._state_by_life = {}
         self._read = []
         self._changes = cache.Changes()
-        self.scales = reading_scale.Scales()
+        self.scales = prefill_scale.Scales()
         self.keepers = keepers.Keepers(now)
 
     def state(self, endpoint):
@@ -118,7 +118,7 @@
             self._state_by_life[endpoint.life] = state
         if state.endpoint.stage != endpoint.stage:
             # What it refused in its stage before says nothing any more.
-            state.health = speed.Health()
+            state.health = endpoint_health.Health()
         state.endpoint = endpoint
         return state
 
--- a/clementinewall/gateway/following.py
+++ b/clementinewall/gateway/following.py
@@ -2,7 +2,7 @@
 
 Each topic is followed by one task with a connection of its own: first the
 newest record of each key, then what follows.  What one gateway reads it
-tells the others, see :mod:`clementinewall.policy.reading_turns`.  When the
+tells the others, see :mod:`clementinewall.policy.store_polling`.  When the
 store is away, serving goes on with what is known.
 """
 
@@ -15,7 +15,7 @@
 from clementinewall import metrics
 from clementinewall.platform import records
 from clementinewall.platform import store
-from clementinewall.policy import reading_turns
+from clementinewall.policy import store_polling
 
 _log = logs.PartLog("follow")
 
@@ -96,13 +96,13 @@
         return self._peers.place_in_line() if self._peers else 0
 
     def _patience_ms(self):
-        return reading_turns.patience_ms(self._pace, self._place())
+        return store_polling.patience_ms(self._pace, self._place())
 
     def _retry_ms(self):
         if self._next is None:
             # Nobody's news helps a gateway that knows nothing yet.
-            return reading_turns.RETRY_MS
-        return reading_turns.retry_ms(self._pace, self._place())
+            return store_polling.RETRY_MS
+        return store_polling.retry_ms(self._pace, self._place())
 
     async def _step(self):
         metrics.count("store_calls", topic=self._topic)
@@ -199,7 +199,7 @@
         records.CONFIGURATION_TOPIC,
         take_all,
         take,
-        reading_turns.Pace(
+        store_polling.Pace(
             int(settings.bounds.configuration_ms * CONFIGURATION_PART),
             int(settings.bounds.configuration_ms * CONFIGURATION_GAP_PART),
         ),
@@ -216,7 +216,7 @@
         records.ENDPOINTS_TOPIC,
         beliefs.take_whole_fleet,
         beliefs.take_endpoint,
-        reading_turns.Pace(0, int(settings.bounds.leaving_ms * FLEET_PART)),
+        store_polling.Pace(0, int(settings.bounds.leaving_ms * FLEET_PART)),
     )
     follower.on_return = beliefs.store_returned
     return follower
@@ -239,5 +239,5 @@
         records.GATEWAYS_TOPIC,
         take_all,
         take,
-        reading_turns.Pace(0, PEERS_GAP_MS),
+        store_polling.Pace(0, PEERS_GAP_MS),
     )
--- a/clementinewall/gateway/peer_messages.py
+++ b/clementinewall/gateway/peer_messages.py
@@ -14,8 +14,8 @@
 import zlib
 
 from clementinewall import clock
-from clementinewall.policy import reading_queue
-from clementinewall.policy import reading_scale
+from clementinewall.policy import prefill_queue
+from clementinewall.policy import prefill_scale
 
 
 class Work(typing.NamedTuple):
@@ -25,7 +25,7 @@
     that are being made, ``last_end`` is when a prompt was last answered.
     """
 
-    jobs: tuple[reading_queue.Job, ...]
+    jobs: tuple[prefill_queue.Job, ...]
     streams: int
     last_end: float
 
@@ -51,7 +51,7 @@
     sign: Sign
     work_by_endpoint: dict[str, Work]
     away_by_endpoint: dict[str, float]
-    estimate_by_service: dict[str, reading_scale.Estimate] = {}
+    estimate_by_service: dict[str, prefill_scale.Estimate] = {}
 
 
 # The fastest level.  Bytes between data centres are paid for.
@@ -127,7 +127,7 @@
     work = {
         name: Work(
             tuple(
-                reading_queue.Job(urgency, cost_ms, now - age)
+                prefill_queue.Job(urgency, cost_ms, now - age)
                 for urgency, cost_ms, age in jobs
             ),
             streams,
@@ -151,9 +151,9 @@
     """
     found = {}
     for name, (log_scale, weight) in (rows or {}).items():
-        if not abs(log_scale) <= reading_scale.MOST:
+        if not abs(log_scale) <= prefill_scale.MOST:
             raise ValueError(f"scale of {name}: {log_scale}")
-        if not 0 <= weight <= reading_scale.MOST_WEIGHT:
+        if not 0 <= weight <= prefill_scale.MOST_WEIGHT:
             raise ValueError(f"weight of {name}: {weight}")
-        found[str(name)] = reading_scale.Estimate(log_scale, weight)
+        found[str(name)] = prefill_scale.Estimate(log_scale, weight)
     return found
--- a/clementinewall/gateway/peers.py
+++ b/clementinewall/gateway/peers.py
@@ -19,7 +19,7 @@
 from clementinewall import logs
 from clementinewall.platform import records
 from clementinewall.platform import store
-from clementinewall.policy import reading_turns
+from clementinewall.policy import store_polling
 
 _log = logs.PartLog("peers")
 
@@ -100,7 +100,7 @@
         By address, so that all that hear one another agree.
         """
         ready = [sign.ip for sign in self.table.live() if sign.ready]
-        return reading_turns.place(self._settings.ip, ready)
+        return store_polling.place(self._settings.ip, ready)
 
     def tell_news(self, news):
         """Tell the others what was read of the store."""
@@ -247,7 +247,7 @@
         """Return those that are told what this gateway reads."""
         own = self._settings.ip
         ips = [sign.ip for sign in self.table.live()]
-        return [ip for ip in reading_turns.group(own, ips) if ip != own]
+        return [ip for ip in store_polling.group(own, ips) if ip != own]
 
     def _receive(self, raw, ip):
         try:
--- a/clementinewall/gateway/placing.py
+++ b/clementinewall/gateway/placing.py
@@ -10,7 +10,7 @@
 from clementinewall import logs
 from clementinewall import metrics
 from clementinewall.policy import placement
-from clementinewall.policy import reading_queue
+from clementinewall.policy import prefill_queue
 
 _log = logs.PartLog("stream")
 
@@ -30,7 +30,7 @@
 
     ``source`` is an engine from which the beginning of the prompt is fetched,
     ``run_urgency`` the urgency at the engine that runs the request, and
-    ``reading_scale`` what the predicted reading was multiplied by.
+    ``prefill_scale`` what the predicted reading was multiplied by.
     """
 
     reader: endpoints_module.State | None
@@ -39,7 +39,7 @@
     urgency: int
     source: endpoints_module.State | None = None
     run_urgency: int = placement.PATIENT
-    reading_scale: float = 1.0
+    prefill_scale: float = 1.0
 
     @property
     def shows_speed(self):
@@ -50,7 +50,7 @@
     @property
     def unscaled_ms(self):
         """Return how long the reading takes by the prediction alone."""
-        return self.way.prompt_ms / self.reading_scale
+        return self.way.prompt_ms / self.prefill_scale
 
 
 class Placer:
@@ -117,7 +117,7 @@
             tokens=demand.tokens,
             tokens_out=demand.tokens_out,
             left_ms=round(demand.left_ms),
-            scale=round(demand.reading_scale, 2),
+            scale=round(demand.prefill_scale, 2),
         )
         reader = states.get(chosen.prefill)
         source = chosen.fetch and self._endpoints.find(chosen.fetch)
@@ -129,7 +129,7 @@
             urgency,
             source,
             placement.run_urgency(decoder, urgency),
-            demand.reading_scale,
+            demand.prefill_scale,
         )
 
     def _candidates(self, engines):
@@ -177,7 +177,7 @@
             tokens_out=prompt.tokens_out,
             send_ms=self._send_ms(exchange.call.body),
             is_probe=self._may_probe(),
-            reading_scale=self._endpoints.scales.scale(
+            prefill_scale=self._endpoints.scales.scale(
                 exchange.service.name,
                 [peer.estimate_by_service for peer in peers],
             ),
@@ -212,7 +212,7 @@
                 jobs.extend(work.jobs)
                 streams += work.streams
                 last_end = max(last_end, work.last_end)
-        waiting = reading_queue.wait_ms(jobs, last_end, self._now(), urgency)
+        waiting = prefill_queue.wait_ms(jobs, last_end, self._now(), urgency)
         return placement.Engine(
             id=endpoint.id,
             prefill=endpoint.stage == domain.PREFILL,
--- a/clementinewall/policy/engine_time.py
+++ b/clementinewall/policy/engine_time.py
@@ -1,7 +1,7 @@
 """How long engines take, from the figures that their operators publish.
 
 All figures are for one model on one accelerator, which two deployments have.
-How far others are off is learned: :mod:`clementinewall.policy.reading_scale`.
+How far others are off is learned: :mod:`clementinewall.policy.prefill_scale`.
 """
 
 PROMPT_TOKENS_A_MS = 157.0
--- a/clementinewall/policy/tracking.py
+++ b/clementinewall/policy/load_tracking.py
@@ -5,8 +5,8 @@
 showed: with eight entries its own count is about an eighth of the truth.
 """
 
+from clementinewall.policy import endpoint_health
 from clementinewall.policy import routing
-from clementinewall.policy import speed
 
 MAX_SCALE = 16.0
 SILENT_MS = 4_000
@@ -22,7 +22,7 @@
         self.report = None
         self.at = None
         self.open = 0
-        self.health = speed.Health()
+        self.health = endpoint_health.Health()
         self._tokens = 0.0
         self._streams = 0
         self._scale = 1.0
--- a/clementinewall/policy/placement.py
+++ b/clementinewall/policy/placement.py
@@ -84,7 +84,7 @@
 
     ``tokens_out`` is how many tokens its answer has at the most, ``send_ms``
     how long its body takes on the gateway's link each time it is sent.
-    ``is_probe`` lets it try an engine that is gone, ``reading_scale`` is how
+    ``is_probe`` lets it try an engine that is gone, ``prefill_scale`` is how
     many times as long as :mod:`engine_time` says prompts are read.
     """
 
@@ -96,7 +96,7 @@
     tokens_out: int = 0
     send_ms: float = 0.0
     is_probe: bool = False
-    reading_scale: float = 1.0
+    prefill_scale: float = 1.0
 
 
 class Way(typing.NamedTuple):
@@ -231,14 +231,14 @@
     cost = FETCH_SETUP_MS + engine_time.transfer_ms(
         tokens, demand.token_bytes, demand.link_mbps
     )
-    saved = tokens / engine_time.PROMPT_TOKENS_A_MS * demand.reading_scale
+    saved = tokens / engine_time.PROMPT_TOKENS_A_MS * demand.prefill_scale
     if cost > saved * FETCH_PART:
         return None, 0.0, reader.cached
     return source.id, cost, source.cached
 
 
 def _prompt_ms(demand, cached):
-    return demand.reading_scale * engine_time.prompt_ms(demand.tokens, cached)
+    return demand.prefill_scale * engine_time.prompt_ms(demand.tokens, cached)
 
 
 def _has_slot(engine, demand):
@@ -250,7 +250,7 @@
 
 def _direct(engine, sources, demand):
     fetch, fetch_ms, cached = _fetch(engine, sources, demand)
-    prompt = demand.reading_scale * engine_time.prompt_ms_beside(
+    prompt = demand.prefill_scale * engine_time.prompt_ms_beside(
         demand.tokens, cached, engine.streams
     )
     wait = engine.wait_ms * engine.slowness
--- a/tests/gateway/test_peer_table.py
+++ b/tests/gateway/test_peer_table.py
@@ -9,7 +9,7 @@
 from clementinewall import clock
 from clementinewall.gateway import peer_messages
 from clementinewall.gateway import peer_table
-from clementinewall.policy import reading_queue
+from clementinewall.policy import prefill_queue
 
 OWN = "10.0.0.1"
 
@@ -92,7 +92,7 @@
     @hypothesis.settings(derandomize=True)
     def test_times_are_ages_on_the_way(self, here, there, jobs):
         rows = tuple(
-            reading_queue.Job(urgency, 30, here - age) for urgency, age in jobs
+            prefill_queue.Job(urgency, 30, here - age) for urgency, age in jobs
         )
         work = {"e1": peer_messages.Work(rows, 3, here - 7)}
         sent = peer_messages.State(sign("10.0.0.2", here), work, {"e2": 40})
--- a/tests/lab/test_simulation.py
+++ b/tests/lab/test_simulation.py
@@ -123,7 +123,7 @@
 class OtherEngines(unittest.TestCase):
     """Engines that read at another speed than gateways predict."""
 
-    UNLEARNED = "gateway:reading_scale.FIRST_STEP=0,reading_scale.LAST_STEP=0"
+    UNLEARNED = "gateway:prefill_scale.FIRST_STEP=0,prefill_scale.LAST_STEP=0"
 
     def both(self, tokens_a_ms, pairs_ms_a_million, factor):
         """Return the credit with what gateways learn, and without."""
--- a/tests/policy/test_placement.py
+++ b/tests/policy/test_placement.py
@@ -318,5 +318,5 @@
     def test_engines_that_read_slower_than_predicted_are_seen_so(self):
         fleet = [engine("p", True), engine("d", streams=60)]
         usual = placement.choose(fleet, demand(12_000))
-        slow = placement.choose(fleet, demand(12_000, reading_scale=1.5))
+        slow = placement.choose(fleet, demand(12_000, prefill_scale=1.5))
         self.assertAlmostEqual(slow.prompt_ms, 1.5 * usual.prompt_ms)
--- a/tests/policy/test_reading_queue.py
+++ b/tests/policy/test_prefill_queue.py
@@ -5,10 +5,10 @@
 import hypothesis
 from hypothesis import strategies
 
-from clementinewall.policy import reading_queue
+from clementinewall.policy import prefill_queue
 
-Job = reading_queue.Job
-ANSWER = reading_queue.ANSWER_MS
+Job = prefill_queue.Job
+ANSWER = prefill_queue.ANSWER_MS
 
 JOBS = strategies.lists(
     strategies.builds(
@@ -25,35 +25,35 @@
     """``wait_ms`` against queues that can be followed by hand."""
 
     def test_an_idle_engine_reads_at_once(self):
-        self.assertEqual(reading_queue.wait_ms([], 0, 1_000, 0), 0)
+        self.assertEqual(prefill_queue.wait_ms([], 0, 1_000, 0), 0)
 
     def test_an_urgent_prompt_waits_for_the_one_that_has_begun(self):
         # A short prompt comes while an engine reads one of 300 ms.  Were it
         # taken for an interruption, the caller would be promised an answer
         # 250 ms too early and another engine left idle.
         jobs = [Job(2, 300, 1_000)]
-        wait = reading_queue.wait_ms(jobs, 0, 1_050, 0)
+        wait = prefill_queue.wait_ms(jobs, 0, 1_050, 0)
         self.assertAlmostEqual(wait, 250)
 
     def test_an_urgent_prompt_passes_those_that_wait(self):
         jobs = [Job(2, 100, 1_000), Job(2, 100, 1_001), Job(0, 10, 1_002)]
         self.assertAlmostEqual(
-            reading_queue.wait_ms(jobs, 0, 1_050, 0), 50 + 10
+            prefill_queue.wait_ms(jobs, 0, 1_050, 0), 50 + 10
         )
         self.assertAlmostEqual(
-            reading_queue.wait_ms(jobs, 0, 1_050, 2), 50 + 10 + 100
+            prefill_queue.wait_ms(jobs, 0, 1_050, 2), 50 + 10 + 100
         )
 
     def test_reading_goes_on_from_the_last_answer(self):
         # The answer to the first prompt has just come; the engine has been
         # at the second one since, not since it was sent.
         jobs = [Job(1, 100, 1_000)]
-        wait = reading_queue.wait_ms(jobs, 1_060 + ANSWER, 1_100, 1)
+        wait = prefill_queue.wait_ms(jobs, 1_060 + ANSWER, 1_100, 1)
         self.assertAlmostEqual(wait, 60)
 
     def test_a_prompt_that_was_read_is_no_wait(self):
         jobs = [Job(1, 50, 1_000)]
-        self.assertEqual(reading_queue.wait_ms(jobs, 0, 1_060, 1), 0)
+        self.assertEqual(prefill_queue.wait_ms(jobs, 0, 1_060, 1), 0)
 
     @hypothesis.given(JOBS, strategies.floats(0, 1_000))
     @hypothesis.settings(derandomize=True, max_examples=300)
@@ -62,7 +62,7 @@
     ):
         now = 1_000
         waits = [
-            reading_queue.wait_ms(jobs, last_end, now, urgency)
+            prefill_queue.wait_ms(jobs, last_end, now, urgency)
             for urgency in range(3)
         ]
         total = sum(job.cost_ms for job in jobs)
--- a/tests/policy/test_reading_scale.py
+++ b/tests/policy/test_prefill_scale.py
@@ -3,13 +3,13 @@
 import random
 import unittest
 
-from clementinewall.policy import reading_scale
+from clementinewall.policy import prefill_scale
 
 
 def learned(scale, samples, seed, spoiled=0.0):
     """Return an estimate after so many prompts, a part of them spoiled."""
     chances = random.Random(seed)
-    found = reading_scale.ReadingScale()
+    found = prefill_scale.ReadingScale()
     for _ in range(samples):
         predicted = chances.uniform(20, 200)
         seen = predicted * scale * chances.uniform(0.9, 1.1)
@@ -25,28 +25,28 @@
     def test_each_speed_is_found_after_some_prompts(self):
         for scale in (0.5, 1.0, 1.4, 3.0):
             with self.subTest(scale=scale):
-                found = reading_scale.combined([learned(scale, 40, 1)])
+                found = prefill_scale.combined([learned(scale, 40, 1)])
                 self.assertAlmostEqual(found / scale, 1.0, delta=0.15)
 
     def test_prompts_that_waited_unseen_do_not_spoil_it(self):
-        found = reading_scale.combined([learned(1.4, 60, 2, spoiled=0.25)])
+        found = prefill_scale.combined([learned(1.4, 60, 2, spoiled=0.25)])
         self.assertAlmostEqual(found / 1.4, 1.0, delta=0.25)
 
     def test_gateways_that_saw_little_know_it_together(self):
         few = [learned(2.0, 6, seed) for seed in range(9)]
-        found = reading_scale.combined(few)
+        found = prefill_scale.combined(few)
         self.assertAlmostEqual(found / 2.0, 1.0, delta=0.25)
 
     def test_a_gateway_that_starts_believes_the_prediction(self):
-        self.assertEqual(reading_scale.combined([]), 1.0)
+        self.assertEqual(prefill_scale.combined([]), 1.0)
 
     def test_short_prompts_say_nothing(self):
-        found = reading_scale.ReadingScale()
-        found.note(500.0, reading_scale.LEAST_MS / 2)
+        found = prefill_scale.ReadingScale()
+        found.note(500.0, prefill_scale.LEAST_MS / 2)
         self.assertEqual(found.estimate.weight, 0)
 
     def test_it_stays_within_its_limits(self):
-        found = reading_scale.ReadingScale()
+        found = prefill_scale.ReadingScale()
         for _ in range(1_000):
             found.note(1e9, 100.0)
-        self.assertLessEqual(found.estimate.log_scale, reading_scale.MOST)
+        self.assertLessEqual(found.estimate.log_scale, prefill_scale.MOST)
