--- a/clementinewall/gateway/callers.py
+++ b/clementinewall/gateway/callers.py
@@ -37,9 +37,9 @@
         self._connections = set()
         self._drain = drain
         self._scope_by_exchange = {}
-        self.open = 0
+        self.open_requests = 0
 
-    def leave(self, left_ms):
+    def drain(self, left_ms):
         """End each connection after its next answer, all in ``left_ms``."""
         self._drain.begin(left_ms)
         for connection in self._connections:
@@ -62,7 +62,9 @@
     @property
     def is_busy(self):
         """Tell whether a request is open or on its way."""
-        return self.open or not all(c.is_idle for c in self._connections)
+        return self.open_requests or not all(
+            c.is_idle for c in self._connections
+        )
 
     async def serve(self, stream):
         """Serve one connection until its end."""
@@ -84,21 +86,21 @@
             try:
                 request = await connection.read_request()
             except server.Refused as exc:
-                await self._refuse_bytes(connection, exc)
+                await self._refuse_malformed(connection, exc)
                 return
             if request is None:
                 return
-            self.open += 1
+            self.open_requests += 1
             try:
                 await self._serve_request(connection, request)
             except server.CallerGone:
                 return
             finally:
-                self.open -= 1
+                self.open_requests -= 1
             if not connection.next_request():
                 return
 
-    async def _refuse_bytes(self, connection, refused):
+    async def _refuse_malformed(self, connection, refused):
         error = errors.BadRequest(refused.why)
         error.status = refused.status
         connection.close_after_answer()
@@ -128,7 +130,7 @@
         try:
             call = calls.decode(request)
             exchange = self._exchange(connection, call)
-            await self._run_in_time(exchange)
+            await self._run_with_deadline(exchange)
         except errors.ClementinewallError as exc:
             await self._fail(connection, request, exchange, exc)
         except server.CallerGone:
@@ -146,7 +148,9 @@
         route = configuration.route_for(call.host, call.path)
         if route is None:
             raise errors.NoRoute("no route leads there")
-        service = configuration.service_by_name.get(_pick(route.shares))
+        service = configuration.service_by_name.get(
+            _choose_service(route.shares)
+        )
         if service is None:
             raise errors.NoEndpoint(f"route {route.name} has no service")
         self._budgets.count_request(service)
@@ -161,17 +165,17 @@
             version=configuration.version,
             goal_ms=route.goal_ms,
             left_ms=exchange.left_ms,
-            **self._leaving_fields(exchange),
+            **self._drain_fields(exchange),
         )
         return exchange
 
-    def _leaving_fields(self, exchange):
+    def _drain_fields(self, exchange):
         """Return what the log says of a request that came in a drain."""
         if not self._drain.is_on:
             return {}
-        return {"taken_after_ms": self._drain.taken_after_ms(exchange)}
+        return {"taken_after_ms": self._drain.arrival_after_drain_ms(exchange)}
 
-    async def _run_in_time(self, exchange):
+    async def _run_with_deadline(self, exchange):
         if self._drain.is_on:
             exchange.end_within(self._drain.left_ms)
         with anyio.move_on_after(clock.seconds(exchange.left_ms)) as scope:
@@ -181,7 +185,7 @@
             finally:
                 del self._scope_by_exchange[exchange]
         if scope.cancelled_caught:
-            raise self._out_of_time(exchange)
+            raise self._timeout_error(exchange)
         took = exchange.waited_ms
         metrics.observe_ms("answered", took, route=exchange.route.name)
         _log.info("answered", request=exchange.call.attempt, took_ms=took)
@@ -192,9 +196,9 @@
         else:
             self._drain.check_call(exchange)
             await self._plain.run(exchange)
-            self._drain.note_call(exchange)
+            self._drain.record_call(exchange)
 
-    def _out_of_time(self, exchange):
+    def _timeout_error(self, exchange):
         """Return the error for a request whose time is over."""
         if not exchange.is_cut_short:
             return errors.DeadlineExceeded("no answer within the timeout")
@@ -203,7 +207,7 @@
             "cut at the end of the process",
             request=exchange.call.attempt,
             route=exchange.route.name,
-            taken_after_ms=self._drain.taken_after_ms(exchange),
+            taken_after_ms=self._drain.arrival_after_drain_ms(exchange),
             waited_ms=exchange.waited_ms,
             answer_begun=exchange.connection.answered,
         )
@@ -234,7 +238,7 @@
             connection.close_after_answer()
 
 
-def _pick(shares):
+def _choose_service(shares):
     """Return the service of one request, by the weights of the route."""
     if len(shares) == 1:
         return shares[0].service
--- a/clementinewall/gateway/draining.py
+++ b/clementinewall/gateway/draining.py
@@ -11,7 +11,7 @@
 _log = logs.PartLog("drain")
 
 # Routes come and go with each configuration; those used last are remembered.
-ROUTES = 256
+MAX_ROUTES = 256
 
 
 class Drain:
@@ -42,16 +42,16 @@
         self._began = self._now()
         self._end = self._began + left_ms
 
-    def taken_after_ms(self, exchange):
+    def arrival_after_drain_ms(self, exchange):
         """Return how long after the stop was asked for a request came."""
         return self._now() - self._began - exchange.waited_ms
 
-    def note_call(self, exchange):
+    def record_call(self, exchange):
         """Learn from a call that was answered."""
         longest_ms = drain.longest_call_ms(exchange.route.goal_ms)
         self._ratios(exchange).note(exchange.waited_ms, longest_ms)
 
-    def note_stream(self, exchange, first_ms):
+    def record_stream(self, exchange, first_ms):
         """Learn from a stream, of which the first event took ``first_ms``."""
         longest_ms = drain.longest_run_ms(
             _tokens_out(exchange), exchange.service.engine.slots
@@ -88,7 +88,7 @@
         if ratios is None:
             ratios = self._ratios_by_route[name] = drain.Ratios()
         self._ratios_by_route.move_to_end(name)
-        if len(self._ratios_by_route) > ROUTES:
+        if len(self._ratios_by_route) > MAX_ROUTES:
             self._ratios_by_route.popitem(last=False)
         return ratios
 
--- a/clementinewall/gateway/placing.py
+++ b/clementinewall/gateway/placing.py
@@ -14,43 +14,43 @@
 
 _log = logs.PartLog("stream")
 
-NO_PROMPT = domain.Prompt("", 0, 0, ())
+EMPTY_PROMPT = domain.Prompt("", 0, 0, ())
 # Returning callers are spread over half as much time again.
-RETRY_SPREAD = 0.5
+RETRY_JITTER_FRACTION = 0.5
 # Engines of other cells that are tried where those of the cell fail.
-HELPERS = 2
+MAX_OTHER_CELL_ENGINES = 2
 # While all engines that decode are gone, one request in this time tries one.
-PROBE_MS = 500
+PROBE_INTERVAL_MS = 500
 # An engine that failed or fell silent is used only if all others are worse.
 UNUSABLE_SLOWNESS = 10.0
 
 
 class Plan(typing.NamedTuple):
-    """The engines chosen for one send; ``reader`` is set for a split.
+    """The engines chosen for one send; ``prefill_engine`` is set for a split.
 
     ``source`` is an engine from which the beginning of the prompt is fetched,
     ``run_urgency`` the urgency at the engine that runs the request, and
     ``prefill_scale`` what the predicted reading was multiplied by.
     """
 
-    reader: endpoints_module.State | None
-    decoder: endpoints_module.State
-    way: placement.Way
+    prefill_engine: endpoints_module.State | None
+    decode_engine: endpoints_module.State
+    option: placement.Way
     urgency: int
     source: endpoints_module.State | None = None
     run_urgency: int = placement.PATIENT
     prefill_scale: float = 1.0
 
     @property
-    def shows_speed(self):
+    def measures_prefill_speed(self):
         """Tell whether nothing but its engine's speed delays the reading."""
-        is_alone = not self.way.wait_ms and self.source is None
-        return is_alone and self.reader is not None
+        is_alone = not self.option.wait_ms and self.source is None
+        return is_alone and self.prefill_engine is not None
 
     @property
-    def unscaled_ms(self):
+    def unscaled_prefill_ms(self):
         """Return how long the reading takes by the prediction alone."""
-        return self.way.prompt_ms / self.prefill_scale
+        return self.option.prompt_ms / self.prefill_scale
 
 
 class Placer:
@@ -82,7 +82,7 @@
             for state in self._candidates(engines)
             if state.endpoint.id not in exchange.tried_ids
         }
-        prompt = exchange.call.prompt or NO_PROMPT
+        prompt = exchange.call.prompt or EMPTY_PROMPT
         cached = max(
             (
                 s.cache.leading_tokens(prompt.parts[:-1])
@@ -92,14 +92,14 @@
         )
         urgency = placement.urgency(demand, cached)
         known = [
-            self._engine(state, prompt, urgency, peers)
+            self._engine_view(state, prompt, urgency, peers)
             for state in states.values()
         ]
         keeper = self._keeper(prompt, states)
         chosen = placement.choose(known, demand, keeper)
-        self._note_probe(known, chosen)
+        self._record_probe(known, chosen)
         if isinstance(chosen, placement.Refusal):
-            if last is None or not _may_come_late(chosen, exchange):
+            if last is None or not _is_worth_serving_late(chosen, exchange):
                 self._refuse(exchange, demand, chosen, last)
             chosen = chosen.best
         _log.info(
@@ -119,16 +119,16 @@
             left_ms=round(demand.left_ms),
             scale=round(demand.prefill_scale, 2),
         )
-        reader = states.get(chosen.prefill)
+        prefill_engine = states.get(chosen.prefill)
         source = chosen.fetch and self._endpoints.find(chosen.fetch)
-        decoder = next(e for e in known if e.id == chosen.decode)
+        decode_view = next(e for e in known if e.id == chosen.decode)
         return Plan(
-            reader,
+            prefill_engine,
             states[chosen.decode],
             chosen,
             urgency,
             source,
-            placement.run_urgency(decoder, urgency),
+            placement.run_urgency(decode_view, urgency),
             demand.prefill_scale,
         )
 
@@ -152,7 +152,9 @@
                 and state not in close
                 and state.is_usable()
             ]
-            found += random.sample(others, min(HELPERS, len(others)))
+            found += random.sample(
+                others, min(MAX_OTHER_CELL_ENGINES, len(others))
+            )
         return found
 
     def _keeper(self, prompt, states):
@@ -166,7 +168,7 @@
         return placement.Source(keeper.endpoint_id, keeper.tokens)
 
     def _demand(self, exchange, peers):
-        prompt = exchange.call.prompt or NO_PROMPT
+        prompt = exchange.call.prompt or EMPTY_PROMPT
         limits = exchange.service.engine
         return placement.Demand(
             tokens=prompt.tokens_in,
@@ -175,7 +177,7 @@
             token_bytes=limits.kv_token_bytes,
             link_mbps=limits.link_mbps,
             tokens_out=prompt.tokens_out,
-            send_ms=self._send_ms(exchange.call.body),
+            send_ms=self._transfer_ms(exchange.call.body),
             is_probe=self._may_probe(),
             prefill_scale=self._endpoints.scales.scale(
                 exchange.service.name,
@@ -186,22 +188,22 @@
     def _may_probe(self):
         return (
             self._probed_at is None
-            or self._now() - self._probed_at >= PROBE_MS
+            or self._now() - self._probed_at >= PROBE_INTERVAL_MS
         )
 
-    def _note_probe(self, known, chosen):
+    def _record_probe(self, known, chosen):
         """Note if a request tries an engine that is gone."""
         gone = {engine.id for engine in known if engine.gone}
         if isinstance(chosen, placement.Way) and chosen.decode in gone:
             self._probed_at = self._now()
 
-    def _send_ms(self, body):
+    def _transfer_ms(self, body):
         """Return how long this instance's link takes for a body."""
         if not self._link_mbps:
             return 0.0
         return len(body) * 8 / (self._link_mbps * 1_000)
 
-    def _engine(self, state, prompt, urgency, peers):
+    def _engine_view(self, state, prompt, urgency, peers):
         endpoint = state.endpoint
         jobs = list(state.jobs)
         streams = state.streams
@@ -241,13 +243,13 @@
         metrics.count("refused", route=exchange.route.name)
         if last is not None:
             raise exchanges.final_error(exchange, last.why)
-        spread = 1 + RETRY_SPREAD * random.random()
+        spread = 1 + RETRY_JITTER_FRACTION * random.random()
         raise errors.Overloaded(
             refusal.why, retry_after_ms=refusal.retry_ms * spread
         )
 
 
-def _may_come_late(refusal, exchange):
+def _is_worth_serving_late(refusal, exchange):
     """Tell whether a further send is worth it although it comes late.
 
     What was begun has cost an engine's time already, and a stream that stops
--- a/clementinewall/gateway/plain_relay.py
+++ b/clementinewall/gateway/plain_relay.py
@@ -122,10 +122,10 @@
     def _checked(self, exchange, sent, body):
         head = sent.head
         if head.status < 400 and not calls.is_whole_success(head):
-            raise sent.failed("a success without the endpoint's stamp")
+            raise sent.failure("a success without the endpoint's stamp")
         answer = head, body
         if head.status >= 500 and exchange.route.idempotent:
-            raise sent.failed(
+            raise sent.failure(
                 f"status {head.status}", verdicts.Verdict.RAN, answer
             )
         return answer
--- a/clementinewall/gateway/program.py
+++ b/clementinewall/gateway/program.py
@@ -149,7 +149,7 @@
         self._life.note(lifecycle.Event.STARTED)
         await self._stopping.wait()
         await self._drain(front, others)
-        if self._callers.open:
+        if self._callers.open_requests:
             return lifecycle.Event.OUT_OF_TIME
         return lifecycle.Event.DRAINED
 
@@ -178,11 +178,11 @@
         grace_ms = self._settings.bounds.grace_ms
         started = self._now_with_suspend()
         left_ms = max(grace_ms * ACCEPT_PART, grace_ms - LAST_MS)
-        self._callers.leave(left_ms)
+        self._callers.drain(left_ms)
         # Callers keep the address for a while and come in good faith.
         await self._until(started + grace_ms * ACCEPT_PART)
         front.close()
-        _log.info("listener closed", open=self._callers.open)
+        _log.info("listener closed", open=self._callers.open_requests)
         await self._until(
             started + left_ms + CUT_MS,
             lambda: not self._callers.is_busy,
@@ -199,7 +199,7 @@
             self._now_with_suspend() + CUT_MS,
             lambda: not self._callers.is_connected,
         )
-        _log.info("stopped", open=self._callers.open)
+        _log.info("stopped", open=self._callers.open_requests)
 
     async def _until(self, end, is_over=lambda: False):
         while self._now_with_suspend() < end and not is_over():
--- a/clementinewall/gateway/sending.py
+++ b/clementinewall/gateway/sending.py
@@ -13,7 +13,7 @@
 MAX_ANSWER_BYTES = 8_000_000
 
 
-class Sent:
+class SentRequest:
     """A request that was sent; its answer is read from ``link``."""
 
     def __init__(self, state, link, head):
@@ -21,7 +21,7 @@
         self.state = state
         self.link = link
         self.head = head
-        self.is_over = False
+        self.is_complete = False
 
     async def read_all(self):
         """Return the rest of the answer.
@@ -31,26 +31,28 @@
         try:
             body = await self.link.read_rest(MAX_ANSWER_BYTES)
         except client.LinkBroken as exc:
-            raise self.failed(exc.why, broken=True) from exc
-        self.is_over = True
+            raise self.failure(exc.why, broken=True) from exc
+        self.is_complete = True
         return body
 
-    async def read_part(self, silence_ms=None):
+    async def read_part(self, silence_timeout_ms=None):
         """Return the next part of the answer, ``None`` at its whole end.
 
         :raises AttemptFailed: it broke off, or nothing came for so long.
         """
         try:
-            part = await self.link.read_part(silence_ms)
+            part = await self.link.read_part(silence_timeout_ms)
         except client.LinkBroken as exc:
-            raise self.failed(exc.why, broken=True) from exc
+            raise self.failure(exc.why, broken=True) from exc
         except TimeoutError as exc:
-            raise self.failed(f"silent for {silence_ms:.0f} ms") from exc
+            raise self.failure(
+                f"silent for {silence_timeout_ms:.0f} ms"
+            ) from exc
         self.state.heard()
-        self.is_over = part is None
+        self.is_complete = part is None
         return part
 
-    def failed(
+    def failure(
         self,
         why,
         verdict=verdicts.Verdict.MAY_HAVE_RUN,
@@ -64,10 +66,10 @@
 
 
 @contextlib.asynccontextmanager
-async def send(call, state, request, now, silence_ms=None):
+async def send(call, state, request, now, silence_timeout_ms=None):
     """Send and wait for the head; close the link unless the answer ended.
 
-    Without a head within ``silence_ms`` the attempt counts as failed.
+    Without a head within ``silence_timeout_ms`` the attempt counts as failed.
 
     :raises AttemptFailed: with what is known of whether it ran.
     """
@@ -77,20 +79,20 @@
     try:
         link = await state.pool.take()
         try:
-            await link.send(request, silence_ms)
-            head = await _own_head(call, link, silence_ms)
+            await link.send(request, silence_timeout_ms)
+            head = await _matching_head(call, link, silence_timeout_ms)
         except TimeoutError as exc:
             raise exchanges.AttemptFailed(
                 verdicts.verdict_of(link.progress),
-                f"silent for {silence_ms:.0f} ms",
+                f"silent for {silence_timeout_ms:.0f} ms",
                 state.endpoint.id,
             ) from exc
         state.heard()
-        sent = Sent(state, link, head)
-        _note_load(state, head, now())
+        sent = SentRequest(state, link, head)
+        _record_load(state, head, now())
         if calls.says_not_run(head):
             await sent.read_all()
-            failure = sent.failed(
+            failure = sent.failure(
                 f"refused with {head.status}", verdicts.Verdict.NOT_RUN
             )
             failure.absent = calls.is_misdirected(head)
@@ -109,16 +111,16 @@
     finally:
         state.end()
         if link is not None:
-            _put_away(state, link, sent)
+            _release_link(state, link, sent)
 
 
-async def _own_head(call, link, silence_ms):
+async def _matching_head(call, link, silence_timeout_ms):
     """Return the head of the answer to this call.
 
     An endpoint may send a second answer to an earlier request late; handing
     it on would give one caller the answer of another.
     """
-    head = await link.read_head(silence_ms)
+    head = await link.read_head(silence_timeout_ms)
     while not calls.is_answer_to(head, call):
         _log.warning(
             "answer to another request dropped",
@@ -127,19 +129,19 @@
         )
         await link.read_rest(MAX_ANSWER_BYTES)
         link.expect_another()
-        head = await link.read_head(silence_ms)
+        head = await link.read_head(silence_timeout_ms)
     return head
 
 
-def _note_load(state, head, now):
+def _record_load(state, head, now):
     load = calls.load(head)
     if load is not None:
         state.load = load
         state.load_at = now
 
 
-def _put_away(state, link, sent):
-    if sent is not None and sent.is_over:
+def _release_link(state, link, sent):
+    if sent is not None and sent.is_complete:
         state.pool.give_back(link)
     else:
         state.pool.drop(link)
--- a/clementinewall/gateway/stream_answer.py
+++ b/clementinewall/gateway/stream_answer.py
@@ -21,30 +21,30 @@
         self.had_first = False
         self._on_first = on_first
 
-    async def carry(self, sent, silence_ms):
+    async def carry(self, sent, silence_timeout_ms):
         """Hand on the events of one engine until the whole end.
 
         :raises AttemptFailed: the stream broke off, or the engine said
-            nothing for ``silence_ms``.
+            nothing for ``silence_timeout_ms``.
         """
         head = sent.head
         if head.status >= 300:
             await self._carry_failure(sent)
             return
         if not calls.is_whole_success(head):
-            raise sent.failed("a success without the engine's stamp")
+            raise sent.failure("a success without the engine's stamp")
         self.events.restart()
-        part = await sent.read_part(silence_ms)
+        part = await sent.read_part(silence_timeout_ms)
         while part is not None:
             try:
                 fresh = self.events.feed(part)
             except sse.BadEvent as exc:
-                raise sent.failed(str(exc)) from exc
+                raise sent.failure(str(exc)) from exc
             if fresh:
                 await self._pass_on(head, fresh)
-            part = await sent.read_part(silence_ms)
+            part = await sent.read_part(silence_timeout_ms)
         if not self.events.is_whole:
-            raise sent.failed("the answer ends within an event")
+            raise sent.failure("the answer ends within an event")
         await self._pass_on(head, b"")
         await self._exchange.connection.finish()
 
@@ -63,7 +63,7 @@
         body = await sent.read_all()
         answer = sent.head, body
         if sent.head.status >= 500 or self.started:
-            raise sent.failed(
+            raise sent.failure(
                 f"status {sent.head.status}", verdicts.Verdict.RAN, answer
             )
         await self._exchange.connection.answer(
--- a/clementinewall/gateway/stream_relay.py
+++ b/clementinewall/gateway/stream_relay.py
@@ -59,7 +59,7 @@
         last = None
         while True:
             plan = self._placer.place(exchange, last)
-            self._drain.check_stream(exchange, plan.way.first_ms)
+            self._drain.check_stream(exchange, plan.option.first_ms)
             spent = _further_sends(exchange, plan)
             if spent and not self._budgets.spend(
                 exchange.service, spent, _reason(exchange)
@@ -80,7 +80,7 @@
                     break
                 continue
             if exchange.first_event_ms is not None:
-                self._drain.note_stream(exchange, exchange.first_event_ms)
+                self._drain.record_stream(exchange, exchange.first_event_ms)
             return
         if last.answer is not None and not stream.started:
             head, body = last.answer
@@ -90,16 +90,18 @@
 
     async def _run_plan(self, exchange, stream, plan):
         prefilled = None
-        if plan.reader is not None:
+        if plan.prefill_engine is not None:
             prefilled = await self._prefill(exchange, plan)
             self._check_time(exchange, plan, prefilled)
         exchange.sends += 1
-        decoder = plan.decoder
+        decoder = plan.decode_engine
         if not self._endpoints.is_current(decoder):
             # It began to leave while the prompt was read elsewhere, and must
             # get no new work.
             if prefilled is not None:
-                self._group.start_soon(self._free, plan.reader, prefilled)
+                self._group.start_soon(
+                    self._free, plan.prefill_engine, prefilled
+                )
             raise exchanges.AttemptFailed(
                 verdicts.Verdict.NOT_RUN,
                 "the engine is leaving",
@@ -119,23 +121,25 @@
         decoder.streams += 1
         job = None
         if not prefilled:
-            job = decoder.begin_prompt(plan.run_urgency, plan.way.prompt_ms)
+            job = decoder.begin_prompt(plan.run_urgency, plan.option.prompt_ms)
             self._tell_prompt(job)
         stream.begin(lambda: self._first(exchange, plan, job))
         taken = False
-        silence_ms = self._silence_ms(exchange, plan)
+        silence_timeout_ms = self._silence_ms(exchange, plan)
         try:
             async with sending.send(
-                exchange.call, decoder, request, self._now, silence_ms
+                exchange.call, decoder, request, self._now, silence_timeout_ms
             ) as sent:
                 taken = True
-                await stream.carry(sent, silence_ms)
+                await stream.carry(sent, silence_timeout_ms)
         finally:
             decoder.streams -= 1
             if job is not None and not stream.had_first:
                 decoder.end_prompt(job, False)
             if prefilled is not None and not taken:
-                self._group.start_soon(self._free, plan.reader, prefilled)
+                self._group.start_soon(
+                    self._free, plan.prefill_engine, prefilled
+                )
         decoder.health.worked()
 
     def _check_time(self, exchange, plan, prefilled):
@@ -146,7 +150,7 @@
         try:
             self._drain.check_stream(exchange, 0)
         except errors.Leaving:
-            self._group.start_soon(self._free, plan.reader, prefilled)
+            self._group.start_soon(self._free, plan.prefill_engine, prefilled)
             raise
 
     def _silence_ms(self, exchange, plan):
@@ -171,18 +175,18 @@
         ]
         if not others:
             return None
-        expected = plan.way.first_ms * PREFILL_PATIENCE
+        expected = plan.option.first_ms * PREFILL_PATIENCE
         pauses = SILENCE_PAUSES * route.gap_goal_ms
         return max(SILENCE_MS, expected, pauses)
 
     def _first(self, exchange, plan, job):
         if job is not None:
-            plan.decoder.end_prompt(job, True)
+            plan.decode_engine.end_prompt(job, True)
         if exchange.call.prompt:
             note = self._endpoints.note_read
             if job is None:
                 note = self._endpoints.note_fetched
-            note(plan.decoder, exchange.call.prompt)
+            note(plan.decode_engine, exchange.call.prompt)
         took = exchange.waited_ms
         if exchange.first_event_ms is None:
             exchange.first_event_ms = took
@@ -191,7 +195,7 @@
             "first event",
             request=exchange.call.attempt,
             took_ms=took,
-            predicted_ms=round(plan.way.first_ms),
+            predicted_ms=round(plan.option.first_ms),
         )
 
     def _reading_silence_ms(self, exchange, plan):
@@ -202,12 +206,12 @@
         """
         if not self._budgets.can_spend(exchange.service, READ_AGAIN_SENDS):
             return None
-        expected = plan.way.wait_ms + plan.way.prompt_ms
+        expected = plan.option.wait_ms + plan.option.prompt_ms
         return PREFILL_PATIENCE * expected + PREFILL_SLACK_MS
 
     async def _prefill(self, exchange, plan):
-        reader = plan.reader
-        prompt_ms = plan.way.prompt_ms
+        reader = plan.prefill_engine
+        prompt_ms = plan.option.prompt_ms
         request = calls.prefill(
             exchange.call,
             reader.endpoint,
@@ -219,10 +223,10 @@
         job = reader.begin_prompt(plan.urgency, prompt_ms)
         was_read = False
         self._tell_prompt(job)
-        silence_ms = self._reading_silence_ms(exchange, plan)
+        silence_timeout_ms = self._reading_silence_ms(exchange, plan)
         try:
             async with sending.send(
-                exchange.call, reader, request, self._now, silence_ms
+                exchange.call, reader, request, self._now, silence_timeout_ms
             ) as sent:
                 body = await sent.read_all()
             was_read = True
@@ -247,18 +251,18 @@
         reader.health.worked()
         took_ms = self._now() - started
         self._endpoints.note_read(reader, exchange.call.prompt)
-        if plan.shows_speed:
+        if plan.measures_prefill_speed:
             self._endpoints.scales.note(
                 exchange.service.name,
                 took_ms - engine_time.READ_ANSWER_MS,
-                plan.unscaled_ms,
+                plan.unscaled_prefill_ms,
             )
         _log.info(
             "prompt read",
             request=exchange.call.attempt,
             engine=reader.endpoint.id,
             took_ms=took_ms,
-            wait_ms=round(plan.way.wait_ms),
+            wait_ms=round(plan.option.wait_ms),
             prompt_ms=round(prompt_ms),
             urgency=plan.urgency,
         )
@@ -299,7 +303,7 @@
     sends = 0
     if exchange.reached_sends:
         sends += 1
-    if exchange.prefills and plan.reader is not None:
+    if exchange.prefills and plan.prefill_engine is not None:
         sends += 1
     return sends
 
@@ -307,7 +311,7 @@
 def _unused_sends(plan, spent, failure):
     """Return how many of the sends that were taken reached nobody."""
     reached = 1 if failure.reached else 0
-    reader = plan.reader
+    reader = plan.prefill_engine
     if reader is not None and failure.endpoint_id == reader.endpoint.id:
         # The stream itself was not asked for.
         return max(0, spent - reached)
--- a/clementinewall/lab/simulation.py
+++ b/clementinewall/lab/simulation.py
@@ -238,16 +238,18 @@
         self._prompt = prompt
         self._on_first = on_first
         self._began = sim.loop.now
-        self._decoder = sim.engine(plan.decoder)
-        state = plan.reader or plan.decoder
-        self._job = state.begin_prompt(plan.urgency, plan.way.prompt_ms)
-        if plan.reader is None:
-            plan.decoder.streams += 1
+        self._decoder = sim.engine(plan.decode_engine)
+        state = plan.prefill_engine or plan.decode_engine
+        self._job = state.begin_prompt(plan.urgency, plan.option.prompt_ms)
+        if plan.prefill_engine is None:
+            plan.decode_engine.streams += 1
         gateway.tell()
         sim.hop(self._read)
 
     def _read(self):
-        reader = self._sim.engine(self._plan.reader or self._plan.decoder)
+        reader = self._sim.engine(
+            self._plan.prefill_engine or self._plan.decode_engine
+        )
         if self._plan.source is not None:
             source = self._sim.engine(self._plan.source)
             kept = source.cached(self._prompt) - reader.cached(self._prompt)
@@ -260,21 +262,25 @@
         if source is not None:
             reader.keep_as(source, self._prompt)
         self._sim.note_read(reader, self._prompt)
-        after = self._run if self._plan.reader is None else self._answer_read
+        after = (
+            self._run
+            if self._plan.prefill_engine is None
+            else self._answer_read
+        )
         reader.read(self._prompt, self._plan.urgency, after)
 
     def _answer_read(self):
         self._sim.loop.after(engines.ANSWER_MS, self._sim.hop, self._was_read)
 
     def _was_read(self):
-        self._end_reading(self._plan.reader)
-        if self._plan.shows_speed:
+        self._end_reading(self._plan.prefill_engine)
+        if self._plan.measures_prefill_speed:
             self._gateway.endpoints.scales.note(
                 SERVICE,
                 self._sim.loop.now - self._began - self._sim.answer_ms,
-                self._plan.unscaled_ms,
+                self._plan.unscaled_prefill_ms,
             )
-        self._plan.decoder.streams += 1
+        self._plan.decode_engine.streams += 1
         self._sim.hop(
             self._decoder.fetch, self._prompt.tokens_in, self._run_fetched
         )
@@ -299,15 +305,15 @@
         self._sim.hop(self._got_first)
 
     def _got_first(self):
-        if self._plan.reader is None:
-            self._end_reading(self._plan.decoder)
-        self._on_first(self._plan.way.first_ms)
+        if self._plan.prefill_engine is None:
+            self._end_reading(self._plan.decode_engine)
+        self._on_first(self._plan.option.first_ms)
 
     def _ended(self):
         self._sim.hop(self._got_end)
 
     def _got_end(self):
-        self._plan.decoder.streams -= 1
+        self._plan.decode_engine.streams -= 1
 
 
 def _configuration(deployment):
--- a/tests/gateway/test_placing.py
+++ b/tests/gateway/test_placing.py
@@ -105,8 +105,8 @@
     def test_the_cell_serves_itself(self):
         for _ in range(50):
             plan = self.place()
-            self.assertTrue(self.membership.is_own(plan.decoder))
-            self.assertTrue(self.membership.is_own(plan.reader))
+            self.assertTrue(self.membership.is_own(plan.decode_engine))
+            self.assertTrue(self.membership.is_own(plan.prefill_engine))
 
     def test_other_cells_help_where_all_engines_of_a_stage_crashed(self):
         # All decode engines of a cell crash together.  Its gateways would
@@ -115,8 +115,8 @@
             state.health.failed(self.ticker.now(), absent=True)
         for _ in range(20):
             plan = self.place()
-            self.assertFalse(self.membership.is_own(plan.decoder))
-            self.assertTrue(plan.decoder.is_usable())
+            self.assertFalse(self.membership.is_own(plan.decode_engine))
+            self.assertTrue(plan.decode_engine.is_usable())
 
     def test_full_engines_are_no_reason_to_go_elsewhere(self):
         # With too much work everywhere, cells that send each other what
@@ -144,5 +144,5 @@
         self.assertGreaterEqual(
             caught.exception.retry_after_ms, placement.EMPTY_RETRY_MS
         )
-        self.ticker.advance(placing.PROBE_MS)
+        self.ticker.advance(placing.PROBE_INTERVAL_MS)
         self.place()
