--- a/clementinewall/gateway/callers.py
+++ b/clementinewall/gateway/callers.py
@@ -173,7 +173,7 @@
         """Return what the log says of a request that came in a drain."""
         if not self._drain.is_on:
             return {}
-        return {"taken_after_ms": self._drain.arrival_after_drain_ms(exchange)}
+        return {"taken_after_ms": self._drain.taken_after_ms(exchange)}
 
     async def _run_with_deadline(self, exchange):
         if self._drain.is_on:
@@ -207,7 +207,7 @@
             "cut at the end of the process",
             request=exchange.call.attempt,
             route=exchange.route.name,
-            taken_after_ms=self._drain.arrival_after_drain_ms(exchange),
+            taken_after_ms=self._drain.taken_after_ms(exchange),
             waited_ms=exchange.waited_ms,
             answer_begun=exchange.connection.answered,
         )
--- a/clementinewall/gateway/draining.py
+++ b/clementinewall/gateway/draining.py
@@ -42,7 +42,7 @@
         self._began = self._now()
         self._end = self._began + left_ms
 
-    def arrival_after_drain_ms(self, exchange):
+    def taken_after_ms(self, exchange):
         """Return how long after the stop was asked for a request came."""
         return self._now() - self._began - exchange.waited_ms
 
