--- a/bench/replay.py
+++ b/bench/replay.py
@@ -144,7 +144,7 @@
             self._at(now + POLL_MS, self._poll, entry)
 
     def _take(self, entry, name, report):
-        self.trackers[entry][name].take(report, int(self.clock.now))
+        self.trackers[entry][name].apply_report(report, int(self.clock.now))
 
     # Requests.
 
@@ -206,7 +206,7 @@
         for entry, request, first in engine.pop_ended():
             gap = (self.clock.now - first) / request.output
             self.trackers[entry][name].ended()
-            self.trackers[entry][name].worked(gap)
+            self.trackers[entry][name].record_answer(gap)
             first_ms = first + gap - request.at
             self._ended.append((request, first_ms, gap))
             self._roles.window["offered"] += 1
@@ -250,7 +250,7 @@
         if self.strategy.admits:
             share, callers = self.shares[entry].of(request.caller)
             demand = admission.Demand(row.priority, share, callers)
-            if not admission.judge(plan.decode, demand, row.first_ms).admit:
+            if not admission.decide(plan.decode, demand, row.first_ms).admit:
                 return None
             tokens = request.prompt + request.output
             self.shares[entry].add(request.caller, tokens)
--- a/bench/role_changes.py
+++ b/bench/role_changes.py
@@ -50,22 +50,24 @@
             return
         demand = planner.demand_of(reports, self._last_reports, PLAN_MS)
         seen, self.window = self.window, collections.Counter()
-        self._model_plan.add(demand, seen["offered"], seen["good"], PLAN_MS)
+        self._model_plan.record_demand(
+            demand, seen["offered"], seen["good"], PLAN_MS
+        )
         views = [
             roles.EngineView(
                 name,
                 report.role,
-                is_away=name in self._pending,
+                is_unavailable=name in self._pending,
                 running=report.running,
             )
             for name, report in reports.items()
         ]
-        proposal = self._model_plan.consider(
+        proposal = self._model_plan.next_change(
             views, self._policy, self._clock.now
         )
         if proposal is not None:
             self._begin_change(proposal.engine, proposal.role)
-            self._model_plan.changed(self._clock.now)
+            self._model_plan.record_change(self._clock.now)
 
     def _react(self, reports):
         """Change a role whenever one kind of work piles up, the baseline."""
@@ -101,5 +103,5 @@
             elif now >= engine.away_until:
                 engine.is_quiesced = False
                 self.lost_ms += now - since
-                self._model_plan.changed(now)
+                self._model_plan.record_change(now)
                 del self._pending[name]
--- a/clementinewall/domain.py
+++ b/clementinewall/domain.py
@@ -34,9 +34,9 @@
     # A change of the configuration must be in force by then, and a leaving
     # endpoint get no new work.
     configuration_ms: clock.Millis = 2_000
-    leaving_ms: clock.Millis = 2_000
+    draining_ms: clock.Millis = 2_000
     # Orders of two holders to one engine must be so far apart.
-    turn_ms: clock.Millis = 3_000
+    order_interval_ms: clock.Millis = 3_000
 
 
 class Settings(typing.NamedTuple):
@@ -120,7 +120,7 @@
 class Endpoint(typing.NamedTuple):
     """One endpoint as it registered itself.
 
-    ``born`` tells two lives under the same id apart.
+    ``incarnation`` tells two lives under the same id apart.
     """
 
     id: str
@@ -128,14 +128,14 @@
     address: str
     data_centre: str
     slots: int
-    leaving: bool
+    draining: bool
     stage: str | None
-    born: int
+    incarnation: int
 
     @property
-    def life(self):
+    def incarnation_key(self):
         """Return what is unique to this life of the endpoint."""
-        return self.id, self.born, self.address
+        return self.id, self.incarnation, self.address
 
 
 class PromptPart(typing.NamedTuple):
--- a/clementinewall/entry/loads.py
+++ b/clementinewall/entry/loads.py
@@ -151,7 +151,9 @@
         except (ValueError, errors.BadRecord) as exc:
             _log.debug("a garbled header", endpoint=endpoint_id, why=exc)
             return
-        self._seen_by_id[endpoint_id].take(report, self._node.clock.now())
+        self._seen_by_id[endpoint_id].apply_report(
+            report, self._node.clock.now()
+        )
 
     def report(self, endpoint_id):
         """Return the last report of the endpoint, or ``None``."""
@@ -167,12 +169,12 @@
 
     def worked(self, endpoint_id, gap_ms=None):
         """Note an answer, with the time seen between its tokens."""
-        self._seen_by_id[endpoint_id].worked(gap_ms)
+        self._seen_by_id[endpoint_id].record_answer(gap_ms)
 
     def failed(self, endpoint_id):
         """Note a failure; several in a row leave the endpoint out."""
         now = self._node.clock.now()
-        paused_ms = self._seen_by_id[endpoint_id].health.failed(now)
+        paused_ms = self._seen_by_id[endpoint_id].health.record_failure(now)
         if paused_ms:
             _log.warning(
                 "an endpoint is left out", endpoint=endpoint_id, ms=paused_ms
@@ -267,7 +269,9 @@
             if exc.verdict is verdicts.Verdict.NOT_RUN:
                 self.failed(endpoint_id)
             return
-        self._seen_by_id[endpoint_id].take(report, self._node.clock.now())
+        self._seen_by_id[endpoint_id].apply_report(
+            report, self._node.clock.now()
+        )
 
 
 def _prefixes(prompt):
--- a/clementinewall/entry/model.py
+++ b/clementinewall/entry/model.py
@@ -161,7 +161,7 @@
         asked = run.work.asked
         share, callers = self._shares.of(asked.caller)
         demand = admission.Demand(asked.work_class.priority, share, callers)
-        verdict = admission.judge(choice, demand, asked.work_class.first_ms)
+        verdict = admission.decide(choice, demand, asked.work_class.first_ms)
         if verdict.admit:
             self._shares.add(asked.caller, progress.tokens(run.work))
             return
--- a/clementinewall/gateway/beliefs.py
+++ b/clementinewall/gateway/beliefs.py
@@ -102,7 +102,7 @@
             return True
         known = self.endpoint_by_id.get(record.key)
         lapsed = self._lapse_end_by_id.pop(record.key, None)
-        if known is not None and found.born < known.born:
+        if known is not None and found.incarnation < known.incarnation:
             _log.warning(
                 "record of an earlier life kept out",
                 endpoint=record.key,
@@ -123,8 +123,8 @@
                 endpoint=found.id,
                 address=found.address,
                 stage=found.stage,
-                leaving=found.leaving,
-                born=found.born,
+                leaving=found.draining,
+                born=found.incarnation,
                 offset=record.offset,
             )
         return is_news
--- a/clementinewall/gateway/caches.py
+++ b/clementinewall/gateway/caches.py
@@ -86,7 +86,7 @@
         cursor_by_life = {}
         followers = self._followers()
         for state in self._engines():
-            life = state.endpoint.life
+            life = state.endpoint.incarnation_key
             cursor = self._cursor_by_life.get(life) or _Cursor()
             cursor_by_life[life] = cursor
             if cursor.is_asking or self._now() < cursor.due_at:
--- a/clementinewall/gateway/draining.py
+++ b/clementinewall/gateway/draining.py
@@ -49,7 +49,7 @@
     def note_call(self, exchange):
         """Learn from a call that was answered."""
         longest_ms = drain.longest_call_ms(exchange.route.goal_ms)
-        self._ratios(exchange).note(exchange.waited_ms, longest_ms)
+        self._ratios(exchange).record(exchange.waited_ms, longest_ms)
 
     def note_stream(self, exchange, first_ms):
         """Learn from a stream, of which the first event took ``first_ms``."""
@@ -57,7 +57,7 @@
             _tokens_out(exchange), exchange.service.engine.slots
         )
         took_ms = exchange.waited_ms - first_ms
-        self._ratios(exchange).note(took_ms, longest_ms)
+        self._ratios(exchange).record(took_ms, longest_ms)
 
     def check_call(self, exchange):
         """Refuse a call to a plain service that the end would cut off.
@@ -65,7 +65,7 @@
         :raises Leaving: it can't be finished here.
         """
         if self.is_on:
-            usual = self._ratios(exchange).usual()
+            usual = self._ratios(exchange).quantile()
             goal_ms = exchange.route.goal_ms
             self._check(exchange, drain.call_ms(goal_ms, usual), usual)
 
@@ -79,14 +79,14 @@
         stream = drain.Stream(
             first_ms, _tokens_out(exchange), exchange.service.engine.slots
         )
-        usual = self._ratios(exchange).usual()
+        usual = self._ratios(exchange).quantile()
         self._check(exchange, drain.stream_ms(stream, usual), usual)
 
     def _ratios(self, exchange):
         name = exchange.route.name
         ratios = self._ratios_by_route.get(name)
         if ratios is None:
-            ratios = self._ratios_by_route[name] = drain.Ratios()
+            ratios = self._ratios_by_route[name] = drain.DurationRatios()
         self._ratios_by_route.move_to_end(name)
         if len(self._ratios_by_route) > ROUTES:
             self._ratios_by_route.popitem(last=False)
--- a/clementinewall/gateway/endpoints.py
+++ b/clementinewall/gateway/endpoints.py
@@ -107,15 +107,15 @@
         self._state_by_life = {}
         self._read = []
         self._changes = cache.Changes()
-        self.scales = prefill_scale.Scales()
+        self.scales = prefill_scale.PrefillScales()
         self.keepers = keepers.Keepers(now)
 
     def state(self, endpoint):
         """Return the state of this life of an endpoint."""
-        state = self._state_by_life.get(endpoint.life)
+        state = self._state_by_life.get(endpoint.incarnation_key)
         if state is None:
             state = State(endpoint, self._now)
-            self._state_by_life[endpoint.life] = state
+            self._state_by_life[endpoint.incarnation_key] = state
         if state.endpoint.stage != endpoint.stage:
             # What it refused in its stage before says nothing any more.
             state.health = endpoint_health.Health()
@@ -127,13 +127,13 @@
         return [
             self.state(endpoint)
             for endpoint in self._beliefs.endpoint_by_id.values()
-            if endpoint.service == service and not endpoint.leaving
+            if endpoint.service == service and not endpoint.draining
         ]
 
     def find(self, endpoint_id):
         """Return the state of an endpoint that takes new work, or ``None``."""
         endpoint = self._beliefs.endpoint_by_id.get(endpoint_id)
-        if endpoint is None or endpoint.leaving:
+        if endpoint is None or endpoint.draining:
             return None
         return self.state(endpoint)
 
@@ -142,8 +142,8 @@
         known = self._beliefs.endpoint_by_id.get(state.endpoint.id)
         return (
             known is not None
-            and known.life == state.endpoint.life
-            and not known.leaving
+            and known.incarnation_key == state.endpoint.incarnation_key
+            and not known.draining
         )
 
     def learn_read(self, endpoint_id, parts):
@@ -250,7 +250,8 @@
     def sweep(self):
         """Close what is left of endpoints that are gone, and old links."""
         current = {
-            endpoint.life for endpoint in self._beliefs.endpoint_by_id.values()
+            endpoint.incarnation_key
+            for endpoint in self._beliefs.endpoint_by_id.values()
         }
         for life, state in list(self._state_by_life.items()):
             if life in current:
--- a/clementinewall/gateway/guard.py
+++ b/clementinewall/gateway/guard.py
@@ -48,7 +48,7 @@
             return
         if failure.verdict is not verdicts.Verdict.MAY_HAVE_RUN:
             return
-        life = f"{state.endpoint.id}/{state.endpoint.born}"
+        life = f"{state.endpoint.id}/{state.endpoint.incarnation}"
         digest = _digest(call)
         if self._table.add(digest, life, strong=before_first):
             _log.info(
--- a/clementinewall/gateway/lease.py
+++ b/clementinewall/gateway/lease.py
@@ -60,7 +60,7 @@
         self._clock = ticker
         self._holder = settings.ip
         self._boot = secrets.token_hex(BOOT_BYTES)
-        self._turn_ms = settings.bounds.turn_ms
+        self._turn_ms = settings.bounds.order_interval_ms
         self._wait_ms = LEASE_MS + self._turn_ms + MARGIN_MS
         self._seen = None
         self._held = None
--- a/clementinewall/gateway/membership.py
+++ b/clementinewall/gateway/membership.py
@@ -22,13 +22,13 @@
         engines = [
             cells.Engine(endpoint.id, endpoint.service, endpoint.stage)
             for endpoint in self._beliefs.endpoint_by_id.values()
-            if endpoint.stage in domain.STAGES and not endpoint.leaving
+            if endpoint.stage in domain.STAGES and not endpoint.draining
         ]
         dealt = frozenset(live_ips), frozenset(engines)
         if dealt == self._dealt:
             return
         self._dealt = dealt
-        cell = cells.deal(self._ip, {self._ip, *live_ips}, engines)
+        cell = cells.assign(self._ip, {self._ip, *live_ips}, engines)
         if cell == self._cell:
             return
         self._cell = cell
--- a/clementinewall/gateway/peer_messages.py
+++ b/clementinewall/gateway/peer_messages.py
@@ -151,9 +151,9 @@
     """
     found = {}
     for name, (log_scale, weight) in (rows or {}).items():
-        if not abs(log_scale) <= prefill_scale.MOST:
+        if not abs(log_scale) <= prefill_scale.MAX_LOG_SCALE:
             raise ValueError(f"scale of {name}: {log_scale}")
-        if not 0 <= weight <= prefill_scale.MOST_WEIGHT:
+        if not 0 <= weight <= prefill_scale.MAX_WEIGHT:
             raise ValueError(f"weight of {name}: {weight}")
         found[str(name)] = prefill_scale.Estimate(log_scale, weight)
     return found
--- a/clementinewall/gateway/peers.py
+++ b/clementinewall/gateway/peers.py
@@ -100,7 +100,7 @@
         By address, so that all that hear one another agree.
         """
         ready = [sign.ip for sign in self.table.live() if sign.ready]
-        return store_polling.place(self._settings.ip, ready)
+        return store_polling.rank(self._settings.ip, ready)
 
     def tell_news(self, news):
         """Tell the others what was read of the store."""
--- a/clementinewall/gateway/placing.py
+++ b/clementinewall/gateway/placing.py
@@ -35,10 +35,10 @@
 
     reader: endpoints_module.State | None
     decoder: endpoints_module.State
-    way: placement.Way
+    way: placement.Option
     urgency: int
     source: endpoints_module.State | None = None
-    run_urgency: int = placement.PATIENT
+    run_urgency: int = placement.URGENCY_NORMAL
     prefill_scale: float = 1.0
 
     @property
@@ -90,7 +90,7 @@
             ),
             default=0,
         )
-        urgency = placement.urgency(demand, cached)
+        urgency = placement.prefill_urgency(demand, cached)
         known = [
             self._engine(state, prompt, urgency, peers)
             for state in states.values()
@@ -128,7 +128,7 @@
             chosen,
             urgency,
             source,
-            placement.run_urgency(decoder, urgency),
+            placement.decode_urgency(decoder, urgency),
             demand.prefill_scale,
         )
 
@@ -163,7 +163,7 @@
         state = self._endpoints.find(keeper.endpoint_id)
         if state is None or not state.is_usable():
             return None
-        return placement.Source(keeper.endpoint_id, keeper.tokens)
+        return placement.CacheHolder(keeper.endpoint_id, keeper.tokens)
 
     def _demand(self, exchange, peers):
         prompt = exchange.call.prompt or NO_PROMPT
@@ -191,8 +191,8 @@
 
     def _note_probe(self, known, chosen):
         """Note if a request tries an engine that is gone."""
-        gone = {engine.id for engine in known if engine.gone}
-        if isinstance(chosen, placement.Way) and chosen.decode in gone:
+        gone = {engine.id for engine in known if engine.unreachable}
+        if isinstance(chosen, placement.Option) and chosen.decode in gone:
             self._probed_at = self._now()
 
     def _send_ms(self, body):
@@ -223,7 +223,7 @@
             slowness=state.health.slowness
             if state.is_usable()
             else UNUSABLE_SLOWNESS,
-            gone=state.is_gone(),
+            unreachable=state.is_gone(),
         )
 
     def _refuse(self, exchange, demand, refusal, last):
--- a/clementinewall/gateway/plain.py
+++ b/clementinewall/gateway/plain.py
@@ -57,7 +57,7 @@
                 if not exchange.may_send_again():
                     break
                 continue
-            state.health.worked()
+            state.health.record_success()
             self._guard.note_answer(exchange.call)
             await exchange.connection.answer(calls.forwarded(head), body)
             return
@@ -133,7 +133,7 @@
     def _note_failure(self, exchange, state, exc):
         exchange.note(exc)
         if exc.answer is None:
-            state.health.failed(self._now(), exc.absent)
+            state.health.record_failure(self._now(), exc.absent)
         self._guard.note_failure(exchange.call, state, exc, True)
         _log.info(
             "attempt failed",
--- a/clementinewall/gateway/stage_manager.py
+++ b/clementinewall/gateway/stage_manager.py
@@ -314,7 +314,7 @@
             kind, rest_ms = cooldowns.Cause.UNANSWERED, UNANSWERED_MS
         else:
             is_absent = isinstance(exc, client.LinkBroken) and exc.absent
-            state.health.failed(self._clock.now(), is_absent)
+            state.health.record_failure(self._clock.now(), is_absent)
         metrics.count("orders", status=kind.value)
         self._cooldowns.start(state.endpoint.id, kind, rest_ms)
         _log.warning(
--- a/clementinewall/gateway/streams.py
+++ b/clementinewall/gateway/streams.py
@@ -136,7 +136,7 @@
                 decoder.end_prompt(job, False)
             if prefilled is not None and not taken:
                 self._group.start_soon(self._free, plan.reader, prefilled)
-        decoder.health.worked()
+        decoder.health.record_success()
 
     def _check_time(self, exchange, plan, prefilled):
         """Refuse a stream that the end came too near to while it waited.
@@ -241,13 +241,13 @@
             raise exchanges.AttemptFailed(
                 verdicts.Verdict.NOT_RUN, exc.message, reader.endpoint.id
             ) from exc
-        reader.health.worked()
+        reader.health.record_success()
         took_ms = self._now() - started
         self._endpoints.note_read(reader, exchange.call.prompt)
         if plan.shows_speed:
-            self._endpoints.scales.note(
+            self._endpoints.scales.record(
                 exchange.service.name,
-                took_ms - engine_time.READ_ANSWER_MS,
+                took_ms - engine_time.PREFILL_ANSWER_MS,
                 plan.unscaled_ms,
             )
         _log.info(
@@ -273,7 +273,7 @@
         exchange.note(exc)
         for state in self._endpoints.of_service(exchange.service.name):
             if state.endpoint.id == exc.endpoint_id and exc.answer is None:
-                state.health.failed(self._now(), exc.absent)
+                state.health.record_failure(self._now(), exc.absent)
                 self._guard.note_failure(
                     exchange.call, state, exc, before_first
                 )
--- a/clementinewall/gateway/topic_followers.py
+++ b/clementinewall/gateway/topic_followers.py
@@ -96,7 +96,7 @@
         return self._peers.place_in_line() if self._peers else 0
 
     def _patience_ms(self):
-        return store_polling.patience_ms(self._pace, self._place())
+        return store_polling.max_age_ms(self._pace, self._place())
 
     def _retry_ms(self):
         if self._next is None:
@@ -199,7 +199,7 @@
         records.CONFIGURATION_TOPIC,
         take_all,
         take,
-        store_polling.Pace(
+        store_polling.PollCycle(
             int(settings.bounds.configuration_ms * CONFIGURATION_PART),
             int(settings.bounds.configuration_ms * CONFIGURATION_GAP_PART),
         ),
@@ -216,7 +216,9 @@
         records.ENDPOINTS_TOPIC,
         beliefs.take_whole_fleet,
         beliefs.take_endpoint,
-        store_polling.Pace(0, int(settings.bounds.leaving_ms * FLEET_PART)),
+        store_polling.PollCycle(
+            0, int(settings.bounds.draining_ms * FLEET_PART)
+        ),
     )
     follower.on_return = beliefs.store_returned
     return follower
@@ -239,5 +241,5 @@
         records.GATEWAYS_TOPIC,
         take_all,
         take,
-        store_polling.Pace(0, PEERS_GAP_MS),
+        store_polling.PollCycle(0, PEERS_GAP_MS),
     )
--- a/clementinewall/lab/policies.py
+++ b/clementinewall/lab/policies.py
@@ -98,10 +98,10 @@
 
 
 def _plan(reader, decoder):
-    way = placement.Way(
+    way = placement.Option(
         reader and reader.endpoint.id, decoder.endpoint.id, 0.0, 0.0, 0.0, 0
     )
-    return placing.Plan(reader, decoder, way, placement.PATIENT)
+    return placing.Plan(reader, decoder, way, placement.URGENCY_NORMAL)
 
 
 PLACERS = {
--- a/clementinewall/lab/simulation.py
+++ b/clementinewall/lab/simulation.py
@@ -269,7 +269,7 @@
     def _was_read(self):
         self._end_reading(self._plan.reader)
         if self._plan.shows_speed:
-            self._gateway.endpoints.scales.note(
+            self._gateway.endpoints.scales.record(
                 SERVICE,
                 self._sim.loop.now - self._began - self._sim.answer_ms,
                 self._plan.unscaled_ms,
--- a/clementinewall/platform/records.py
+++ b/clementinewall/platform/records.py
@@ -52,9 +52,9 @@
             address=_address(data["address"]),
             data_centre=_text(data["zone"]),
             slots=_whole(data.get("slot_count", 1)),
-            leaving=state == "draining",
+            draining=state == "draining",
             stage=data.get("stage"),
-            born=_whole(data.get("born", 0)),
+            incarnation=_whole(data.get("born", 0)),
         )
     except (KeyError, TypeError, ValueError, AttributeError) as exc:
         raise errors.BadRecord(f"{endpoint_id}: {exc!r}") from exc
--- a/clementinewall/platform/settings.py
+++ b/clementinewall/platform/settings.py
@@ -125,7 +125,7 @@
             retry_slack=bounds.budget_slack,
             addresses_ttl_ms=int(bounds.ttl_max_s * 1_000),
             configuration_ms=int(bounds.config_ms),
-            leaving_ms=int(bounds.drain_ms),
-            turn_ms=int(bounds.lease_ms),
+            draining_ms=int(bounds.drain_ms),
+            order_interval_ms=int(bounds.lease_ms),
         ),
     )
--- a/clementinewall/policy/admission.py
+++ b/clementinewall/policy/admission.py
@@ -31,7 +31,7 @@
     callers: int
 
 
-class Verdict(typing.NamedTuple):
+class Decision(typing.NamedTuple):
     """Whether to admit; if not, when to come back, and why."""
 
     admit: bool
@@ -59,12 +59,12 @@
     return demand.callers > 1 and demand.share > limit
 
 
-def judge(choice, demand, first_target_ms):
+def decide(choice, demand, first_target_ms):
     """Admit or refuse the demand for which ``choice`` is the best."""
     limit = room(demand)
     if choice.score <= limit or choice.score <= PRESSURE:
-        return Verdict(True, 0, "within target")
+        return Decision(True, 0, "within target")
     excess = (choice.score - limit) * first_target_ms
     retry = int(min(MAX_RETRY_MS, max(MIN_RETRY_MS, excess)))
     why = "over its share" if is_over_share(demand) else "target in danger"
-    return Verdict(False, retry, f"{why}: {choice.score:.2f} > {limit:.2f}")
+    return Decision(False, retry, f"{why}: {choice.score:.2f} > {limit:.2f}")
--- a/clementinewall/policy/cells.py
+++ b/clementinewall/policy/cells.py
@@ -16,7 +16,7 @@
 
 # Gateways in a cell.  Smaller cells leave an engine's load to fewer gateways
 # but have fewer engines to choose from.
-GATEWAYS = 8
+GATEWAYS_PER_CELL = 8
 
 
 class Cell(typing.NamedTuple):
@@ -36,13 +36,13 @@
 
 def count(gateways, engines):
     """Return how many cells there are."""
-    by_gateways = round(gateways / GATEWAYS)
+    by_gateways = round(gateways / GATEWAYS_PER_CELL)
     # A cell needs an engine of each stage, and another one beside it.
     by_engines = engines // 4
     return max(1, min(by_gateways, by_engines))
 
 
-def deal(own, gateways, engines):
+def assign(own, gateways, engines):
     """Return the cell of the gateway ``own``, one of ``gateways``.
 
     ``engines`` are :class:`Engine`; the result names them by id.
--- a/clementinewall/policy/drain.py
+++ b/clementinewall/policy/drain.py
@@ -18,8 +18,8 @@
 # How many targets a call to a plain service may take.
 CALL_TARGETS = 2.0
 # Requests of a route that are remembered, and how many are enough to go by.
-SEEN = 200
-SEEN_ENOUGH = 20
+MAX_SAMPLES = 200
+MIN_SAMPLES = 20
 # This part of those seen took no longer than what is counted with.
 QUANTILE = 0.99
 MARGIN = 1.1
@@ -41,8 +41,8 @@
 def stream_ms(stream, usual=None):
     """Return how long a stream takes if it goes slowly.
 
-    ``usual`` is what :class:`Ratios` says of the route's streams, as parts of
-    :func:`longest_run_ms`.
+    ``usual`` is the quantile of the route's :class:`DurationRatios`, as a
+    fraction of :func:`longest_run_ms`.
     """
     first_ms = FIRST_EVENT_PATIENCE * stream.first_ms + FIRST_EVENT_SLACK_MS
     run_ms = longest_run_ms(stream.tokens_out, stream.slots)
@@ -59,8 +59,8 @@
 def call_ms(goal_ms, usual=None):
     """Return how long a call to a plain service takes if it is slow.
 
-    ``usual`` is what :class:`Ratios` says of the route's calls, as parts of
-    :func:`longest_call_ms`.
+    ``usual`` is the quantile of the route's :class:`DurationRatios`, as a
+    fraction of :func:`longest_call_ms`.
     """
     return _scaled(longest_call_ms(goal_ms), usual)
 
@@ -74,20 +74,20 @@
     return longest_ms if usual is None else longest_ms * usual * MARGIN
 
 
-class Ratios:
+class DurationRatios:
     """What the last requests of a route took, as parts of the longest."""
 
     def __init__(self):
         """Begin with none."""
-        self._seen = collections.deque(maxlen=SEEN)
+        self._seen = collections.deque(maxlen=MAX_SAMPLES)
 
-    def note(self, took_ms, longest_ms):
+    def record(self, took_ms, longest_ms):
         """Take in a request that was answered."""
         if longest_ms and longest_ms < math.inf:
             self._seen.append(took_ms / longest_ms)
 
-    def usual(self):
+    def quantile(self):
         """Return what nearly all stayed within; ``None`` if few were seen."""
-        if len(self._seen) < SEEN_ENOUGH:
+        if len(self._seen) < MIN_SAMPLES:
             return None
         return sorted(self._seen)[int(len(self._seen) * QUANTILE)]
--- a/clementinewall/policy/endpoint_health.py
+++ b/clementinewall/policy/endpoint_health.py
@@ -12,7 +12,7 @@
 # own.  Tried before that record is known, it may be in another stage and
 # refuse what it gets.
 ABSENT_PAUSE_MS = 5_000
-LONGEST_PAUSE_MS = 30_000
+MAX_PAUSE_MS = 30_000
 SMOOTHING = 0.1
 FASTEST = 0.5
 SLOWEST = 10.0
@@ -37,7 +37,7 @@
         """Tell whether work may go there now."""
         return self._paused_until is None or now >= self._paused_until
 
-    def failed(self, now, absent=False):
+    def record_failure(self, now, absent=False):
         """Count a failure; return the pause in ms if one begins.
 
         ``absent`` tells that nothing listens where the endpoint was, or that
@@ -51,10 +51,10 @@
             return 0
         pause = self._pause_ms
         self._paused_until = now + pause
-        self._pause_ms = min(LONGEST_PAUSE_MS, pause * 2)
+        self._pause_ms = min(MAX_PAUSE_MS, pause * 2)
         return pause
 
-    def worked(self, seen_ms=None, expected_ms=None):
+    def record_success(self, seen_ms=None, expected_ms=None):
         """Count an answer, and how its speed compares to the promise."""
         self._failures = 0
         self._paused_until = self._absent_until = None
@@ -63,7 +63,7 @@
             ratio = min(SLOWEST, max(FASTEST, seen_ms / expected_ms))
             self.slowness += SMOOTHING * (ratio - self.slowness)
 
-    def reported(self):
+    def record_report(self):
         """Count a load report: the endpoint is there, if not yet well."""
         if self._paused_until is None:
             self._failures = 0
--- a/clementinewall/policy/engine_time.py
+++ b/clementinewall/policy/engine_time.py
@@ -4,7 +4,7 @@
 How far others are off is learned: :mod:`clementinewall.policy.prefill_scale`.
 """
 
-PROMPT_TOKENS_A_MS = 157.0
+PROMPT_TOKENS_PER_MS = 157.0
 # Attention grows with the pairs of a new token and each one before it.
 PAIRS_MS_A_MILLION = 0.109
 # Prompts are read in pieces, each beside a step of the engine's batch.
@@ -16,7 +16,7 @@
 # A request to an engine and its answer.
 HOP_MS = 8.0
 # From the end of a prompt's reading to the answer at the gateway.
-READ_ANSWER_MS = HOP_MS + FIRST_EVENT_MS
+PREFILL_ANSWER_MS = HOP_MS + FIRST_EVENT_MS
 # A decoding engine reads prompts at half speed, in pieces of 512 tokens
 # between the steps of its streams.
 DECODE_SLOWDOWN = 2.0
@@ -25,7 +25,7 @@
 STEP_MS_A_STREAM = 0.0462
 
 
-def prompt_ms(tokens, cached):
+def prefill_ms(tokens, cached):
     """Return how long an idle prefill engine takes to read a prompt."""
     steps = max(0, tokens - cached) / PREFILL_CHUNK * STEP_MS
     return PROMPT_BASE_MS + _reading_ms(tokens, cached) + steps
@@ -34,7 +34,7 @@
 def _reading_ms(tokens, cached):
     new = max(0, tokens - cached)
     pairs = new * (cached + new / 2) / 1e6
-    return new / PROMPT_TOKENS_A_MS + pairs * PAIRS_MS_A_MILLION
+    return new / PROMPT_TOKENS_PER_MS + pairs * PAIRS_MS_A_MILLION
 
 
 def step_ms(streams):
@@ -42,7 +42,7 @@
     return STEP_MS + STEP_MS_A_STREAM * streams
 
 
-def prompt_ms_beside(tokens, cached, streams):
+def decode_engine_prefill_ms(tokens, cached, streams):
     """Return how long an engine that decodes ``streams`` takes to read."""
     pieces = max(0, tokens - cached) / DECODE_CHUNK
     reading = _reading_ms(tokens, cached) * DECODE_SLOWDOWN
--- a/clementinewall/policy/load_tracking.py
+++ b/clementinewall/policy/load_tracking.py
@@ -39,7 +39,7 @@
         """Count the end of one such work."""
         self.open -= 1
 
-    def take(self, report, now):
+    def apply_report(self, report, now):
         """Take in a report that describes the engine as of ``now``."""
         if self.report is not None:
             arrived = max(0, report.arrived - self.report.arrived)
@@ -55,7 +55,7 @@
         self.at = now
         self._tokens = 0.0
         self._streams = 0
-        self.health.reported()
+        self.health.record_report()
 
     def candidate(self, name, now, distance_ms, cached_tokens=0):
         """Return the engine as the routing policy sees it."""
@@ -86,10 +86,10 @@
             sent_streams=self._streams * self._scale,
         )
 
-    def worked(self, gap_ms=None):
+    def record_answer(self, gap_ms=None):
         """Note an answer and the time seen between its tokens."""
         expected = None
         if gap_ms is not None and self.report is not None:
             seen = self.candidate("", self.at, 0.0)
             expected = routing.predict_gap(seen._replace(slowness=1.0))
-        self.health.worked(gap_ms, expected)
+        self.health.record_success(gap_ms, expected)
--- a/clementinewall/policy/placement.py
+++ b/clementinewall/policy/placement.py
@@ -16,7 +16,7 @@
 
 # The part of the time to the target that predictions may fill.  Work that
 # other gateways have just sent isn't known yet.
-ROOM = 0.85
+TARGET_FRACTION = 0.85
 # A prompt so large that reading it alone takes longer than the target is
 # still taken while the wait before it is under this part of the target;
 # otherwise the largest requests would never be served.
@@ -29,9 +29,9 @@
 # From this part of the target on, a request's own time leaves so little
 # room that it goes before others at the engine.
 TIGHT_PART = 0.5
-CHEAP = 0
-TIGHT = 1
-PATIENT = 2
+URGENCY_SHORT = 0
+URGENCY_TIGHT = 1
+URGENCY_NORMAL = 2
 # How much a millisecond of engine time weighs against one of the caller's:
 # it keeps prompts where their first parts are in the cache.
 WORK_WEIGHT = 3.0
@@ -41,7 +41,7 @@
 # a new one there: its steps take longer than those of an idle one.
 STREAMS_MS = 80.0
 # Streams beside which a decode engine still takes new ones, of its slots.
-STREAMS_PART = 0.95
+MAX_SLOT_FRACTION = 0.95
 # The last slots are kept for short answers, which give them back soon.
 LONG_STREAMS_PART = 0.88
 LONG_TOKENS = 100
@@ -51,7 +51,7 @@
 LAST_SLOTS = 6
 MIN_RETRY_MS = 50
 # Engines that crash or change their stage are away for seconds.
-EMPTY_RETRY_MS = 1_000
+NO_DECODE_RETRY_MS = 1_000
 # A fetch takes this long before the first byte (operators' figure for moves),
 # and is worth it up to this part of the reading that it saves: what a source
 # keeps is known from what was sent there, and at times is gone.
@@ -76,7 +76,7 @@
     slots: int
     cached: int
     slowness: float = 1.0
-    gone: bool = False
+    unreachable: bool = False
 
 
 class Demand(typing.NamedTuple):
@@ -99,7 +99,7 @@
     prefill_scale: float = 1.0
 
 
-class Way(typing.NamedTuple):
+class Option(typing.NamedTuple):
     """A way to serve a request: ``prefill`` is ``None`` without a split.
 
     ``fetch`` is the engine from whose cache the one that reads the prompt
@@ -121,10 +121,10 @@
 
     why: str
     retry_ms: int
-    best: Way | None
+    best: Option | None
 
 
-class Source(typing.NamedTuple):
+class CacheHolder(typing.NamedTuple):
     """An engine that keeps so many leading tokens of the prompt."""
 
     id: str
@@ -137,9 +137,9 @@
     ``keeper`` is a :class:`Source` that is none of ``engines``.
     """
     decoding = [engine for engine in engines if not engine.prefill]
-    if all(engine.gone for engine in decoding):
+    if all(engine.unreachable for engine in decoding):
         if not decoding or not demand.is_probe:
-            return Refusal("no engine decodes", EMPTY_RETRY_MS, None)
+            return Refusal("no engine decodes", NO_DECODE_RETRY_MS, None)
         # Prompts would be read for it in vain.
         engines = decoding
     ways = list(_ways(engines, demand, keeper))
@@ -151,7 +151,7 @@
     fastest = min(ways, key=lambda way: (way.first_ms, way.decode))
     if _is_in_time(fastest, demand):
         return fastest
-    late_by = fastest.first_ms - demand.left_ms * ROOM
+    late_by = fastest.first_ms - demand.left_ms * TARGET_FRACTION
     return Refusal(
         "too late on each way", max(MIN_RETRY_MS, int(late_by)), fastest
     )
@@ -163,16 +163,16 @@
 
 
 def _is_in_time(way, demand):
-    if way.first_ms <= demand.left_ms * ROOM:
+    if way.first_ms <= demand.left_ms * TARGET_FRACTION:
         return True
     if way.prompt_ms <= demand.goal_ms * CHEAP_PART:
         return way.first_ms <= demand.goal_ms * CHEAP_TARGETS
     own_ms = way.first_ms - way.wait_ms
-    is_large = own_ms > demand.goal_ms * ROOM
+    is_large = own_ms > demand.goal_ms * TARGET_FRACTION
     return is_large and way.wait_ms <= demand.goal_ms * LARGE_WAIT_PART
 
 
-def urgency(demand, cached):
+def prefill_urgency(demand, cached):
     """Return the place of a prompt among those that wait, 0 first.
 
     Engines read urgent prompts first.  Short ones delay nobody, so they go
@@ -181,17 +181,17 @@
     """
     prompt_ms = _prompt_ms(demand, cached)
     if prompt_ms <= demand.goal_ms * CHEAP_PART:
-        return CHEAP
+        return URGENCY_SHORT
     own_ms = prompt_ms + 2 * (engine_time.HOP_MS + engine_time.FIRST_EVENT_MS)
     if own_ms >= demand.goal_ms * TIGHT_PART:
-        return TIGHT
-    return PATIENT
+        return URGENCY_TIGHT
+    return URGENCY_NORMAL
 
 
-def run_urgency(engine, prompt_urgency):
+def decode_urgency(engine, prompt_urgency):
     """Return the urgency of a stream at a decode engine."""
     if engine.slots - engine.streams <= LAST_SLOTS:
-        return PATIENT
+        return URGENCY_NORMAL
     return prompt_urgency
 
 
@@ -210,7 +210,7 @@
 def _sources(engines, keeper):
     """Return the two engines that keep most of the prompt's beginning."""
     found = [
-        Source(e.id, e.cached)
+        CacheHolder(e.id, e.cached)
         for e in engines
         if e.cached and e.slowness < FAILED_SLOWNESS
     ]
@@ -231,33 +231,37 @@
     cost = FETCH_SETUP_MS + engine_time.transfer_ms(
         tokens, demand.token_bytes, demand.link_mbps
     )
-    saved = tokens / engine_time.PROMPT_TOKENS_A_MS * demand.prefill_scale
+    saved = tokens / engine_time.PROMPT_TOKENS_PER_MS * demand.prefill_scale
     if cost > saved * FETCH_PART:
         return None, 0.0, reader.cached
     return source.id, cost, source.cached
 
 
 def _prompt_ms(demand, cached):
-    return demand.prefill_scale * engine_time.prompt_ms(demand.tokens, cached)
+    return demand.prefill_scale * engine_time.prefill_ms(demand.tokens, cached)
 
 
 def _has_slot(engine, demand):
     part = (
-        LONG_STREAMS_PART if demand.tokens_out > LONG_TOKENS else STREAMS_PART
+        LONG_STREAMS_PART
+        if demand.tokens_out > LONG_TOKENS
+        else MAX_SLOT_FRACTION
     )
     return engine.streams < engine.slots * part
 
 
 def _direct(engine, sources, demand):
     fetch, fetch_ms, cached = _fetch(engine, sources, demand)
-    prompt = demand.prefill_scale * engine_time.prompt_ms_beside(
+    prompt = demand.prefill_scale * engine_time.decode_engine_prefill_ms(
         demand.tokens, cached, engine.streams
     )
     wait = engine.wait_ms * engine.slowness
     own = engine_time.HOP_MS + engine_time.FIRST_EVENT_MS
     begin = max(wait, fetch_ms + demand.send_ms)
     first = begin + own + prompt * engine.slowness
-    return Way(None, engine.id, first, wait, prompt, cached, fetch, fetch_ms)
+    return Option(
+        None, engine.id, first, wait, prompt, cached, fetch, fetch_ms
+    )
 
 
 def _split(reader, decoding, sources, demand):
@@ -274,7 +278,7 @@
         1 + target.slowness
     )
     first = ready + _blocked_ms(target, ready) + own
-    return Way(
+    return Option(
         reader.id, target.id, first, wait, prompt, cached, fetch, fetch_ms
     )
 
--- a/clementinewall/policy/prefill_scale.py
+++ b/clementinewall/policy/prefill_scale.py
@@ -12,16 +12,16 @@
 import typing
 
 # Prompts predicted shorter than this say little: they are mostly constants.
-LEAST_MS = 20.0
+MIN_PREDICTED_MS = 20.0
 # Each sample moves the logarithm by this part of its number, so that the first
 # ones find the scale; later ones keep moving it, since engines are replaced.
 FIRST_STEP = 1.0
 LAST_STEP = 0.06
 QUANTILE = 0.25
-MOST = math.log(8.0)
+MAX_LOG_SCALE = math.log(8.0)
 # What the prediction itself counts against what was seen.
 PRIOR_WEIGHT = 1.0
-MOST_WEIGHT = 30.0
+MAX_WEIGHT = 30.0
 
 
 class Estimate(typing.NamedTuple):
@@ -31,7 +31,7 @@
     weight: float
 
 
-class ReadingScale:
+class PrefillScale:
     """The estimate of one gateway for the engines of one service."""
 
     def __init__(self):
@@ -39,23 +39,23 @@
         self._log = 0.0
         self._samples = 0
 
-    def note(self, seen_ms, predicted_ms):
+    def record(self, seen_ms, predicted_ms):
         """Take in how long a prompt was read that didn't have to wait.
 
         ``predicted_ms`` is what :mod:`engine_time` says, without a scale.
         """
-        if predicted_ms < LEAST_MS:
+        if predicted_ms < MIN_PREDICTED_MS:
             return
         self._samples += 1
         step = max(LAST_STEP, FIRST_STEP / self._samples)
         is_above = seen_ms > predicted_ms * math.exp(self._log)
         self._log += step * (QUANTILE if is_above else QUANTILE - 1)
-        self._log = max(-MOST, min(MOST, self._log))
+        self._log = max(-MAX_LOG_SCALE, min(MAX_LOG_SCALE, self._log))
 
     @property
     def estimate(self):
         """Return what is to be told to others."""
-        return Estimate(self._log, min(MOST_WEIGHT, float(self._samples)))
+        return Estimate(self._log, min(MAX_WEIGHT, float(self._samples)))
 
 
 def combined(estimates):
@@ -65,17 +65,17 @@
     return math.exp(total / weight)
 
 
-class Scales:
+class PrefillScales:
     """What one gateway learned of the engines of each service."""
 
     def __init__(self):
         """Begin with no sample."""
         self._scale_by_service = {}
 
-    def note(self, service, seen_ms, predicted_ms):
-        """Take in a prompt as :meth:`ReadingScale.note` does."""
-        scale = self._scale_by_service.setdefault(service, ReadingScale())
-        scale.note(seen_ms, predicted_ms)
+    def record(self, service, seen_ms, predicted_ms):
+        """Take in a prompt as :meth:`PrefillScale.record` does."""
+        scale = self._scale_by_service.setdefault(service, PrefillScale())
+        scale.record(seen_ms, predicted_ms)
 
     def estimate_by_service(self):
         """Return what is to be told to others."""
--- a/clementinewall/policy/reconcile.py
+++ b/clementinewall/policy/reconcile.py
@@ -8,7 +8,7 @@
 import typing
 
 
-class Wanted(typing.NamedTuple):
+class DesiredState(typing.NamedTuple):
     """What is wanted of an engine; an empty word leaves it as it is."""
 
     state: str
--- a/clementinewall/policy/roles.py
+++ b/clementinewall/policy/roles.py
@@ -42,7 +42,7 @@
 
     id: str
     role: str
-    is_away: bool = False
+    is_unavailable: bool = False
     may_change: bool = True
     running: int = 0
 
@@ -90,7 +90,7 @@
     no change can gain more than that, whatever the estimate says.  The gain
     counts over ``horizon_ms``.
     """
-    if any(engine.is_away for engine in engines):
+    if any(engine.is_unavailable for engine in engines):
         # One change at a time: the demand on the others shows the effect
         # of a change only after it.
         return None
@@ -230,7 +230,7 @@
         self._mix = None
         self._mix_since = now
 
-    def add(self, demand, offered, good, elapsed_ms):
+    def record_demand(self, demand, offered, good, elapsed_ms):
         """Take in what the last ``elapsed_ms`` brought."""
         self.short = _blend(self.short, demand, elapsed_ms / SHORT_MS)
         self.long = _blend(self.long, demand, elapsed_ms / LONG_MS)
@@ -239,7 +239,7 @@
             part = min(1.0, elapsed_ms / SHORTFALL_MS)
             self.shortfall += part * (missed - self.shortfall)
 
-    def consider(self, engines, policy, now):
+    def next_change(self, engines, policy, now):
         """Return the change to make now, or ``None``."""
         wait = policy.change_ms * SETTLE_CHANGES * self._patience
         if self.long is None or now - self._changed_at < wait:
@@ -257,7 +257,7 @@
             self._horizon(policy, now),
         )
 
-    def changed(self, now):
+    def record_change(self, now):
         """Note that a change was begun."""
         self._changed_at = now
         self._before = self.shortfall
--- a/clementinewall/policy/stages.py
+++ b/clementinewall/policy/stages.py
@@ -39,14 +39,14 @@
 class Engine(typing.NamedTuple):
     """An engine with the streams of all gateways on it.
 
-    ``lost`` tells that it doesn't answer.
+    ``unreachable`` tells that it doesn't answer.
     """
 
     id: str
     prefill: bool
     streams: int
     slots: int
-    lost: bool = False
+    unreachable: bool = False
 
 
 class Change(typing.NamedTuple):
@@ -65,7 +65,7 @@
 
 def plan(engines):
     """Return the one :class:`Change` to make next, or ``None``."""
-    engines = [e for e in engines if not e.lost]
+    engines = [e for e in engines if not e.unreachable]
     reading = [e for e in engines if e.prefill]
     decoding = [e for e in engines if not e.prefill]
     if reading and not decoding:
--- a/clementinewall/policy/store_polling.py
+++ b/clementinewall/policy/store_polling.py
@@ -12,7 +12,7 @@
 import typing
 
 # Gateways for which one reads.  What the reader sends grows with their number.
-GROUP = 64
+GROUP_SIZE = 64
 # A gateway that isn't the first in line waits for so many cycles of the
 # reader, and each one further back longer by this part, up to a limit: if
 # the first few die together, all others read for themselves once.
@@ -24,7 +24,7 @@
 RETRY_MS = 200
 
 
-class Pace(typing.NamedTuple):
+class PollCycle(typing.NamedTuple):
     """How a topic is read: how long a read may wait, and the gap after it."""
 
     wait_ms: int
@@ -39,11 +39,11 @@
 def group(own, others):
     """Return the gateways that one of them reads for, in their line."""
     names = sorted({own, *others})
-    groups = max(1, round(len(names) / GROUP))
+    groups = max(1, round(len(names) / GROUP_SIZE))
     return names[names.index(own) % groups :: groups]
 
 
-def place(own, others):
+def rank(own, others):
     """Return the place of ``own`` in line; the first, 0, reads.
 
     ``others`` are the addresses of the gateways that are heard and serve.
@@ -51,14 +51,14 @@
     return group(own, others).index(own)
 
 
-def patience_ms(pace, place_in_line):
+def max_age_ms(pace, rank_in_group):
     """Return how old the last known read may get before the next own one."""
-    if place_in_line == 0:
+    if rank_in_group == 0:
         return pace.gap_ms
-    steps = min(place_in_line - 1, MOST_STEPS)
+    steps = min(rank_in_group - 1, MOST_STEPS)
     return pace.cycle_ms * (PATIENCE + STEP * steps)
 
 
-def retry_ms(pace, place_in_line):
+def retry_ms(pace, rank_in_group):
     """Return how long to wait after a call that failed."""
-    return min(max(RETRY_MS, pace.cycle_ms), RETRY_MS * (1 + place_in_line))
+    return min(max(RETRY_MS, pace.cycle_ms), RETRY_MS * (1 + rank_in_group))
--- a/clementinewall/steward/fleet.py
+++ b/clementinewall/steward/fleet.py
@@ -71,7 +71,7 @@
         if role == "auto":
             given = self._node.view.assignments_by_id.get(name)
             role = given.role if given else ""
-        return reconcile.Wanted(endpoint.state, role, endpoint.version)
+        return reconcile.DesiredState(endpoint.state, role, endpoint.version)
 
     async def _reconcile(self, name, endpoint):
         try:
--- a/clementinewall/steward/planner.py
+++ b/clementinewall/steward/planner.py
@@ -143,8 +143,8 @@
         now = self._node.clock.now()
         plan = self._plan_by_model.setdefault(model, roles.ModelPlan(now))
         demand = demand_of(mine, self._last_by_id, elapsed)
-        plan.add(demand, *outcomes.get(model, (0, 0)), elapsed)
-        proposal = plan.consider(
+        plan.record_demand(demand, *outcomes.get(model, (0, 0)), elapsed)
+        proposal = plan.next_change(
             [self._view(name, report) for name, report in mine.items()],
             self._node.view.policy,
             now,
@@ -159,7 +159,7 @@
         return roles.EngineView(
             name,
             report.role,
-            is_away=report.quiesced or report.changing or is_pending,
+            is_unavailable=report.quiesced or report.changing or is_pending,
             may_change=row.role == "auto",
             running=report.running,
         )
@@ -182,7 +182,7 @@
         except errors.ClementinewallError as exc:
             _log.warning("an assignment is unsure", error=exc.message)
             return
-        self._plan_by_model[model].changed(self._node.clock.now())
+        self._plan_by_model[model].record_change(self._node.clock.now())
         _log.info(
             "assigned a role" if outcome.valid else "lost an assignment",
             endpoint=proposal.engine,
--- a/tests/gateway/test_beliefs.py
+++ b/tests/gateway/test_beliefs.py
@@ -69,7 +69,7 @@
     def test_stale_record_of_an_endpoint_is_kept_out(self):
         self.beliefs.take_endpoint(endpoint(7, state="draining"))
         self.beliefs.take_endpoint(endpoint(3))
-        self.assertTrue(self.beliefs.endpoint_by_id["e1"].leaving)
+        self.assertTrue(self.beliefs.endpoint_by_id["e1"].draining)
 
     def test_removed_endpoint_gets_nothing_more(self):
         self.beliefs.take_endpoint(endpoint(0))
--- a/tests/gateway/test_endpoints.py
+++ b/tests/gateway/test_endpoints.py
@@ -110,7 +110,7 @@
     def test_a_gateway_that_starts_learns_from_those_that_run(self):
         first = gateway_view()
         for _ in range(30):
-            first.scales.note("model", 150.0, 100.0)
+            first.scales.record("model", 150.0, 100.0)
         sign = peer_messages.Sign("10.0.0.9", "", "a", True, 0)
         told = peer_messages.State(
             sign,
@@ -154,11 +154,11 @@
 
     def test_an_engine_that_is_silent_and_fails_is_gone(self):
         for _ in range(2):
-            self.state.health.failed(self.ticker.now())
+            self.state.health.record_failure(self.ticker.now())
         self.assertTrue(self.state.is_gone())
 
     def test_an_engine_that_nothing_listens_for_is_gone(self):
-        self.state.health.failed(self.ticker.now(), absent=True)
+        self.state.health.record_failure(self.ticker.now(), absent=True)
         self.assertTrue(self.state.is_gone())
 
     def test_an_engine_that_changes_its_stage_is_gone(self):
--- a/tests/gateway/test_lease.py
+++ b/tests/gateway/test_lease.py
@@ -88,7 +88,7 @@
         self.advance(lease.LEASE_MS)
         self.assertFalse(self.first.is_held())
         self.assertFalse(self.claim(self.second))
-        self.advance(SETTINGS.bounds.turn_ms + lease.MARGIN_MS)
+        self.advance(SETTINGS.bounds.order_interval_ms + lease.MARGIN_MS)
         self.assertTrue(self.claim(self.second))
         self.assertGreater(self.second.token, self.first.token)
 
@@ -97,7 +97,7 @@
         self.claim(self.second)
         self.advance(lease.LEASE_MS)
         self.assertTrue(self.claim(self.first))
-        self.advance(SETTINGS.bounds.turn_ms + lease.MARGIN_MS)
+        self.advance(SETTINGS.bounds.order_interval_ms + lease.MARGIN_MS)
         self.assertFalse(self.claim(self.second))
 
     def test_lease_ends_while_the_machine_is_suspended(self):
@@ -122,7 +122,9 @@
     def test_unreadable_claim_is_waited_out(self):
         self.store.records.append(store.Record(lease.KEY, b"?", 0))
         self.assertFalse(self.claim(self.first))
-        self.advance(lease.LEASE_MS + SETTINGS.bounds.turn_ms + 2_000)
+        self.advance(
+            lease.LEASE_MS + SETTINGS.bounds.order_interval_ms + 2_000
+        )
         self.assertTrue(self.claim(self.first))
 
     def restart(self, claimant):
@@ -152,7 +154,7 @@
     def test_claim_is_not_released_right_after_an_order(self):
         self.claim(self.first)
         self.first.note_order()
-        self.advance(SETTINGS.bounds.turn_ms + lease.MARGIN_MS - 1)
+        self.advance(SETTINGS.bounds.order_interval_ms + lease.MARGIN_MS - 1)
         anyio.run(self.first.release)
         self.assertFalse(self.claim(self.second))
         self.advance(1)
@@ -165,7 +167,7 @@
         anyio.run(restarted.look)
         anyio.run(restarted.release)
         self.assertTrue(restarted.is_standing)
-        self.advance(SETTINGS.bounds.turn_ms + lease.MARGIN_MS)
+        self.advance(SETTINGS.bounds.order_interval_ms + lease.MARGIN_MS)
         anyio.run(restarted.release)
         self.assertTrue(self.claim(self.second))
 
--- a/tests/gateway/test_lease_holders.py
+++ b/tests/gateway/test_lease_holders.py
@@ -150,7 +150,7 @@
                 for (before, first), (after, second) in pairs
                 if first != second
             ),
-            default=SETTINGS.bounds.turn_ms,
+            default=SETTINGS.bounds.order_interval_ms,
         )
 
 
@@ -184,7 +184,7 @@
             action(holders, *values)
             holders.store.carry_out_late()
         self.assertGreaterEqual(
-            holders.shortest_turn_ms(), SETTINGS.bounds.turn_ms
+            holders.shortest_turn_ms(), SETTINGS.bounds.order_interval_ms
         )
 
     @hypothesis.settings(max_examples=200, deadline=None, derandomize=True)
--- a/tests/gateway/test_placing.py
+++ b/tests/gateway/test_placing.py
@@ -48,7 +48,7 @@
 
 def engine(number, stage, **more):
     """Return the record of an engine."""
-    row = {"leaving": False, "stage": stage, "born": 1}
+    row = {"draining": False, "stage": stage, "incarnation": 1}
     row.update(more)
     name = f"i-{number:04}"
     return domain.Endpoint(name, "model", f"{name}:1", "a", 16, **row)
@@ -112,7 +112,7 @@
         # All decode engines of a cell crash together.  Its gateways would
         # refuse every caller for seconds while three other cells have room.
         for state in self.own(domain.DECODE):
-            state.health.failed(self.ticker.now(), absent=True)
+            state.health.record_failure(self.ticker.now(), absent=True)
         for _ in range(20):
             plan = self.place()
             self.assertFalse(self.membership.is_own(plan.decoder))
@@ -130,19 +130,19 @@
         # An engine that is asked for what its stage doesn't do refuses.  It
         # must be used as soon as its record tells the new stage.
         state = self.own(domain.DECODE)[0]
-        state.health.failed(self.ticker.now(), absent=True)
+        state.health.record_failure(self.ticker.now(), absent=True)
         changed = state.endpoint._replace(stage=domain.PREFILL)
         self.assertTrue(self.endpoints.state(changed).is_usable())
 
     def test_callers_are_not_sent_to_dead_engines_one_after_the_other(self):
         for state in self.endpoints.of_service("model"):
             if state.endpoint.stage == domain.DECODE:
-                state.health.failed(self.ticker.now(), absent=True)
+                state.health.record_failure(self.ticker.now(), absent=True)
         self.place()
         with self.assertRaises(errors.Overloaded) as caught:
             self.place()
         self.assertGreaterEqual(
-            caught.exception.retry_after_ms, placement.EMPTY_RETRY_MS
+            caught.exception.retry_after_ms, placement.NO_DECODE_RETRY_MS
         )
         self.ticker.advance(placing.PROBE_MS)
         self.place()
--- a/tests/gateway/test_topic_followers.py
+++ b/tests/gateway/test_topic_followers.py
@@ -189,7 +189,7 @@
         self.log.write("e1", "ready", born=2)
         reader.step()
         listener.follower.take_news(reader.peers.told[-1])
-        self.assertFalse(listener.known["e1"].leaving)
+        self.assertFalse(listener.known["e1"].draining)
         self.assertEqual(listener.known, reader.known)
 
     def write_all(self, writes):
@@ -212,7 +212,7 @@
         reader.step()
         reader.step()
         listener.follower.take_news(reader.peers.told[-1])
-        self.assertTrue(listener.known["e1"].leaving)
+        self.assertTrue(listener.known["e1"].draining)
 
     def test_a_gap_is_read_and_not_guessed(self):
         # More messages were lost than one covers.
@@ -223,13 +223,13 @@
             self.log.write("e2", "ready")
             reader.step()
         listener.follower.take_news(reader.peers.told[-1])
-        self.assertFalse(listener.known["e1"].leaving)
+        self.assertFalse(listener.known["e1"].draining)
         self.assertLessEqual(
             listener.follower._known_at + listener.follower._patience_ms(),
             self.clock.now(),
         )
         listener.step()
-        self.assertTrue(listener.known["e1"].leaving)
+        self.assertTrue(listener.known["e1"].draining)
 
     def test_a_change_too_large_to_tell_is_read(self):
         # A configuration of 1,400 routes fits into no datagram.
--- a/tests/lab/test_simulation.py
+++ b/tests/lab/test_simulation.py
@@ -151,7 +151,7 @@
 
     def test_other_thresholds_hold_for_their_run_only(self):
         before = play("gateway")
-        other = play("gateway:placement.STREAMS_PART=0.05")
+        other = play("gateway:placement.MAX_SLOT_FRACTION=0.05")
         self.assertNotEqual(other.credit, before.credit)
         self.assertEqual(play("gateway"), before)
 
@@ -159,7 +159,7 @@
         for text, part in (
             ("best", "no policy 'best'"),
             ("gateway:placement.NOTHING=1", "placement.NOTHING"),
-            ("gateway:placement.ROOM=much", "much"),
+            ("gateway:placement.TARGET_FRACTION=much", "much"),
             ("gateway:nowhere.ROOM=1", "nowhere.ROOM"),
             ("gateway:placement.choose=1", "is no number"),
         ):
--- a/tests/policy/test_cells.py
+++ b/tests/policy/test_cells.py
@@ -24,7 +24,7 @@
 
     def test_a_small_deployment_is_one_cell(self):
         names, engines = fleet(8, 2, 3)
-        cell = cells.deal(names[0], names, engines)
+        cell = cells.assign(names[0], names, engines)
         self.assertEqual(cell.gateways, set(names))
         self.assertEqual(len(cell.engines), 5)
 
@@ -36,7 +36,7 @@
     @hypothesis.settings(derandomize=True, max_examples=200)
     def test_cells_part_the_fleet_evenly(self, gateways, reading, decoding):
         names, engines = fleet(gateways, reading, decoding)
-        dealt = [cells.deal(name, names, engines) for name in names]
+        dealt = [cells.assign(name, names, engines) for name in names]
         # Whoever I share engines with shares them with me.
         for name, cell in zip(names, dealt, strict=True):
             self.assertIn(name, cell.gateways)
@@ -58,9 +58,9 @@
         rest = [e for n, e in enumerate(names) if n != lost_gateway]
         moved = {"engines": 0, "gateways": 0}
         for name in rest:
-            before = cells.deal(name, names, engines)
-            fewer = cells.deal(name, names, left)
-            alone = cells.deal(name, rest, engines)
+            before = cells.assign(name, names, engines)
+            fewer = cells.assign(name, names, left)
+            alone = cells.assign(name, rest, engines)
             moved["engines"] += len(fewer.engines - before.engines)
             moved["gateways"] += len(alone.gateways - before.gateways)
         # Each engine is counted once for each of its cell's gateways.
@@ -73,5 +73,5 @@
         # Its gateways tell each other every prompt: were a cell to grow with
         # the deployment, so would what each gateway sends.
         names, engines = fleet(gateways, 3 * gateways, 3 * gateways)
-        cell = cells.deal(names[0], names, engines)
-        self.assertLessEqual(len(cell.gateways), 2 * cells.GATEWAYS)
+        cell = cells.assign(names[0], names, engines)
+        self.assertLessEqual(len(cell.gateways), 2 * cells.GATEWAYS_PER_CELL)
--- a/tests/policy/test_drain.py
+++ b/tests/policy/test_drain.py
@@ -39,26 +39,26 @@
     """What the last requests took."""
 
     def test_few_say_nothing(self):
-        ratios = drain.Ratios()
-        ratios.note(300, 600)
-        self.assertIsNone(ratios.usual())
+        ratios = drain.DurationRatios()
+        ratios.record(300, 600)
+        self.assertIsNone(ratios.quantile())
 
     def test_slow_ones_count_although_most_are_fast(self):
-        ratios = drain.Ratios()
-        for number in range(drain.SEEN):
-            ratios.note(900 if number % 50 == 0 else 100, 1_000)
-        self.assertEqual(ratios.usual(), 0.9)
+        ratios = drain.DurationRatios()
+        for number in range(drain.MAX_SAMPLES):
+            ratios.record(900 if number % 50 == 0 else 100, 1_000)
+        self.assertEqual(ratios.quantile(), 0.9)
 
     def test_old_ones_are_forgotten(self):
-        ratios = drain.Ratios()
+        ratios = drain.DurationRatios()
         for took_ms in (900, 100):
-            for _ in range(drain.SEEN):
-                ratios.note(took_ms, 1_000)
-        self.assertEqual(ratios.usual(), 0.1)
+            for _ in range(drain.MAX_SAMPLES):
+                ratios.record(took_ms, 1_000)
+        self.assertEqual(ratios.quantile(), 0.1)
 
     def test_what_has_no_longest_time_teaches_nothing(self):
-        ratios = drain.Ratios()
+        ratios = drain.DurationRatios()
         for longest_ms in (0, math.inf):
-            for _ in range(drain.SEEN):
-                ratios.note(100, longest_ms)
-        self.assertIsNone(ratios.usual())
+            for _ in range(drain.MAX_SAMPLES):
+                ratios.record(100, longest_ms)
+        self.assertIsNone(ratios.quantile())
--- a/tests/policy/test_placement.py
+++ b/tests/policy/test_placement.py
@@ -76,14 +76,14 @@
         # would get nothing instead of a late answer.
         fleet = [engine("p", True, wait_ms=250), engine("d", wait_ms=250)]
         way = placement.choose(fleet, demand(600, 200))
-        self.assertIsInstance(way, placement.Way)
+        self.assertIsInstance(way, placement.Option)
 
     def test_the_largest_prompts_are_served_too(self):
         # A prompt that takes longer than its target even on an idle engine
         # would be refused each time it comes.
         fleet = [engine("p", True, wait_ms=50), engine("d", streams=20)]
         way = placement.choose(fleet, demand(54_000))
-        self.assertIsInstance(way, placement.Way)
+        self.assertIsInstance(way, placement.Option)
 
     def test_an_engine_that_failed_is_not_where_a_split_leads(self):
         # An engine crashed.  It has no streams, so of all it seems the least
@@ -101,16 +101,22 @@
     def test_callers_of_an_empty_stage_do_not_come_back_at_once(self):
         refused = placement.choose([engine("p", True)], demand(12_000))
         self.assertEqual(refused.why, "no engine decodes")
-        self.assertEqual(refused.retry_ms, placement.EMPTY_RETRY_MS)
+        self.assertEqual(refused.retry_ms, placement.NO_DECODE_RETRY_MS)
 
     def test_no_prompt_is_read_for_decoding_engines_that_are_gone(self):
-        fleet = [engine("p", True), engine("d", gone=True, slowness=10.0)]
+        fleet = [
+            engine("p", True),
+            engine("d", unreachable=True, slowness=10.0),
+        ]
         refused = placement.choose(fleet, demand(12_000))
         self.assertEqual(refused.why, "no engine decodes")
-        self.assertEqual(refused.retry_ms, placement.EMPTY_RETRY_MS)
+        self.assertEqual(refused.retry_ms, placement.NO_DECODE_RETRY_MS)
 
     def test_a_probe_finds_out_whether_an_engine_is_back(self):
-        fleet = [engine("p", True), engine("d", gone=True, slowness=10.0)]
+        fleet = [
+            engine("p", True),
+            engine("d", unreachable=True, slowness=10.0),
+        ]
         probe = demand(600)._replace(is_probe=True)
         way = placement.choose(fleet, probe)
         self.assertEqual((way.prefill, way.decode), (None, "d"))
@@ -127,7 +133,7 @@
         fleet = [engine("p", True), engine("d", streams=15, slots=16)]
         short = placement.choose(fleet, demand(600, 200, tokens_out=20))
         long = placement.choose(fleet, demand(600, 200, tokens_out=400))
-        self.assertIsInstance(short, placement.Way)
+        self.assertIsInstance(short, placement.Option)
         self.assertIsInstance(long, placement.Refusal)
 
     @hypothesis.given(
@@ -181,7 +187,7 @@
 
     def test_a_keeper_of_another_cell_is_asked(self):
         fleet = [engine("p", True), engine("d")]
-        keeper = placement.Source("far", 5_500)
+        keeper = placement.CacheHolder("far", 5_500)
         way = placement.choose(fleet, demand(12_000, **self.LINK), keeper)
         self.assertEqual((way.prefill, way.fetch), ("p", "far"))
 
@@ -212,7 +218,7 @@
     @hypothesis.settings(derandomize=True)
     def test_a_keeper_makes_no_way_longer(self, own, kept, tokens):
         fleet = [engine("p", True, cached=min(own, tokens)), engine("d")]
-        keeper = placement.Source("far", min(kept, tokens))
+        keeper = placement.CacheHolder("far", min(kept, tokens))
         wanted = demand(tokens, 100_000, **self.LINK)
         without = placement.choose(fleet, wanted)
         with_it = placement.choose(fleet, wanted, keeper)
@@ -224,7 +230,7 @@
 
     def test_short_before_tight_before_patient(self):
         places = [
-            placement.urgency(demand(tokens, goal), 0)
+            placement.prefill_urgency(demand(tokens, goal), 0)
             for tokens, goal in ((600, 200), (40_000, 400), (8_000, 400))
         ]
         self.assertEqual(places, sorted(places))
@@ -241,8 +247,8 @@
     def test_a_cache_never_makes_reading_longer(self, tokens, cached):
         cached = min(cached, tokens)
         self.assertLessEqual(
-            engine_time.prompt_ms(tokens, cached),
-            engine_time.prompt_ms(tokens, 0) + 1e-6,
+            engine_time.prefill_ms(tokens, cached),
+            engine_time.prefill_ms(tokens, 0) + 1e-6,
         )
 
 
@@ -255,10 +261,14 @@
         # reads the prompt of the stopped one again.
         crowded = engine("d", streams=14, slots=16)
         free = engine("d", streams=4, slots=16)
-        for urgency in (placement.CHEAP, placement.TIGHT, placement.PATIENT):
-            found = placement.run_urgency(crowded, urgency)
-            self.assertEqual(found, placement.PATIENT)
-            self.assertEqual(placement.run_urgency(free, urgency), urgency)
+        for urgency in (
+            placement.URGENCY_SHORT,
+            placement.URGENCY_TIGHT,
+            placement.URGENCY_NORMAL,
+        ):
+            found = placement.decode_urgency(crowded, urgency)
+            self.assertEqual(found, placement.URGENCY_NORMAL)
+            self.assertEqual(placement.decode_urgency(free, urgency), urgency)
 
 
 class Sending(unittest.TestCase):
--- a/tests/policy/test_prefill_scale.py
+++ b/tests/policy/test_prefill_scale.py
@@ -9,13 +9,13 @@
 def learned(scale, samples, seed, spoiled=0.0):
     """Return an estimate after so many prompts, a part of them spoiled."""
     chances = random.Random(seed)
-    found = prefill_scale.ReadingScale()
+    found = prefill_scale.PrefillScale()
     for _ in range(samples):
         predicted = chances.uniform(20, 200)
         seen = predicted * scale * chances.uniform(0.9, 1.1)
         if chances.random() < spoiled:
             seen += chances.uniform(100, 2_000)
-        found.note(seen, predicted)
+        found.record(seen, predicted)
     return found.estimate
 
 
@@ -41,12 +41,14 @@
         self.assertEqual(prefill_scale.combined([]), 1.0)
 
     def test_short_prompts_say_nothing(self):
-        found = prefill_scale.ReadingScale()
-        found.note(500.0, prefill_scale.LEAST_MS / 2)
+        found = prefill_scale.PrefillScale()
+        found.record(500.0, prefill_scale.MIN_PREDICTED_MS / 2)
         self.assertEqual(found.estimate.weight, 0)
 
     def test_it_stays_within_its_limits(self):
-        found = prefill_scale.ReadingScale()
+        found = prefill_scale.PrefillScale()
         for _ in range(1_000):
-            found.note(1e9, 100.0)
-        self.assertLessEqual(found.estimate.log_scale, prefill_scale.MOST)
+            found.record(1e9, 100.0)
+        self.assertLessEqual(
+            found.estimate.log_scale, prefill_scale.MAX_LOG_SCALE
+        )
--- a/tests/policy/test_roles.py
+++ b/tests/policy/test_roles.py
@@ -50,7 +50,7 @@
     @hypothesis.given(ENGINES, DEMAND, DEMAND, SHORTFALL)
     def test_one_change_at_a_time(self, engines, short, long, missed):
         """While an engine is away no other is taken."""
-        engines[0] = engines[0]._replace(is_away=True)
+        engines[0] = engines[0]._replace(is_unavailable=True)
         self.assertIsNone(propose(engines, short, long, missed))
 
     @hypothesis.given(ENGINES, DEMAND, DEMAND)
@@ -94,9 +94,9 @@
         demand = roles.Demand(4.5, 0.6, 10.0)
         changes = []
         for now in range(0, 1_800_000, 2_000):
-            plan.add(demand, 20, 14, 2_000)
-            if plan.consider(engines, POLICY, now) is not None:
-                plan.changed(now)
+            plan.record_demand(demand, 20, 14, 2_000)
+            if plan.next_change(engines, POLICY, now) is not None:
+                plan.record_change(now)
                 changes.append(now)
         gaps = [b - a for a, b in zip(changes, changes[1:])]
         self.assertGreater(len(gaps), 2)
--- a/tests/policy/test_stages.py
+++ b/tests/policy/test_stages.py
@@ -84,8 +84,8 @@
             e._replace(prefill=change.prefill) if e.id == change.id else e
             for e in fleet
         ]
-        decoded = sum(not e.prefill and not e.lost for e in fleet)
-        decode = sum(not e.prefill and not e.lost for e in after)
+        decoded = sum(not e.prefill and not e.unreachable for e in fleet)
+        decode = sum(not e.prefill and not e.unreachable for e in after)
         self.assertFalse(decoded and not decode)
         reading = sum(e.prefill for e in fleet)
         read = sum(e.prefill for e in after)
@@ -112,13 +112,16 @@
 
     def test_the_loss_of_the_last_decoding_engine_is_made_up_for_at_once(self):
         fleet = [engine("a", True, 9), engine("b", True, 3)]
-        fleet.append(engine("c", False)._replace(lost=True))
+        fleet.append(engine("c", False)._replace(unreachable=True))
         change = stages.plan(fleet)
         self.assertEqual((change.id, change.prefill), ("b", False))
         self.assertLess(change.lasting_ms, stages.LASTING_MS)
 
     def test_the_last_engine_that_answers_decodes(self):
-        fleet = [engine("a", True), engine("b", False)._replace(lost=True)]
+        fleet = [
+            engine("a", True),
+            engine("b", False)._replace(unreachable=True),
+        ]
         self.assertEqual(stages.plan(fleet).id, "a")
 
     def test_an_engine_that_is_left_alone_decodes(self):
@@ -127,5 +130,5 @@
         self.assertIsNone(stages.plan([engine("a", False)]))
 
     def test_nothing_changes_while_no_engine_answers(self):
-        fleet = [engine(n, n == "a")._replace(lost=True) for n in "abc"]
+        fleet = [engine(n, n == "a")._replace(unreachable=True) for n in "abc"]
         self.assertIsNone(stages.plan(fleet))
