--- a/clementinewall/gateway/program.py
+++ b/clementinewall/gateway/program.py
@@ -16,9 +16,9 @@
 from clementinewall.gateway import membership
 from clementinewall.gateway import peers
 from clementinewall.gateway import placing
-from clementinewall.gateway import plain
+from clementinewall.gateway import plain_relay
 from clementinewall.gateway import stage_manager
-from clementinewall.gateway import streams
+from clementinewall.gateway import stream_relay
 from clementinewall.gateway import topic_followers
 from clementinewall.http1 import stream as tcp
 from clementinewall import lifecycle
@@ -69,10 +69,10 @@
             settings, self._peers, ticker.now_with_suspend
         )
         drain = draining.Drain(ticker)
-        self._plain = plain.PlainRelay(
+        self._plain = plain_relay.PlainRelay(
             settings, self._endpoints, self._budgets, self._guard, now
         )
-        self._streams = streams.StreamRelay(
+        self._streams = stream_relay.StreamRelay(
             self._endpoints,
             placing.Placer(
                 settings, self._endpoints, self._peers, self._membership, now
