--- a/clementinewall/gateway/stream_relay.py
+++ b/clementinewall/gateway/stream_relay.py
@@ -140,7 +140,7 @@
                 self._group.start_soon(
                     self._free, plan.prefill_engine, prefilled
                 )
-        decoder.health.worked()
+        decoder.health.record_success()
 
     def _check_time(self, exchange, plan, prefilled):
         """Refuse a stream that the end came too near to while it waited.
@@ -248,13 +248,13 @@
             raise exchanges.AttemptFailed(
                 verdicts.Verdict.NOT_RUN, exc.message, reader.endpoint.id
             ) from exc
-        reader.health.worked()
+        reader.health.record_success()
         took_ms = self._now() - started
         self._endpoints.note_read(reader, exchange.call.prompt)
         if plan.measures_prefill_speed:
-            self._endpoints.scales.note(
+            self._endpoints.scales.record(
                 exchange.service.name,
-                took_ms - engine_time.READ_ANSWER_MS,
+                took_ms - engine_time.PREFILL_ANSWER_MS,
                 plan.unscaled_prefill_ms,
             )
         _log.info(
@@ -280,7 +280,7 @@
         exchange.record_failure(exc)
         for state in self._endpoints.of_service(exchange.service.name):
             if state.endpoint.id == exc.endpoint_id and exc.answer is None:
-                state.health.failed(self._now(), exc.absent)
+                state.health.record_failure(self._now(), exc.absent)
                 self._guard.note_failure(
                     exchange.call, state, exc, before_first
                 )
