--- a/clementinewall/gateway/budgets.py
+++ b/clementinewall/gateway/budgets.py
@@ -5,10 +5,10 @@
 
 
 class Budgets:
-    """Finds the budget of a service."""
+    """Keeps a retry budget for each service."""
 
     def __init__(self, settings, peers, now):
-        """Share the fixed number with the instances that peers know."""
+        """Share the slack with the instances that ``peers`` knows."""
         self._settings = settings
         self._peers = peers
         self._now = now
@@ -28,11 +28,14 @@
         self._budget(service).count_request()
 
     def can_spend(self, service, sends):
-        """Tell whether further sends could be taken now."""
+        """Tell whether the budget allows ``sends`` further sends now."""
         return self._budget(service).can_spend(self._share(), sends)
 
     def spend(self, service, sends, why):
-        """Take further sends for a reason; return whether they were left."""
+        """Spend ``sends`` if all are allowed; return whether they are.
+
+        ``why`` is the reason, as a metrics label.
+        """
         is_granted = self._budget(service).spend(self._share(), sends)
         metrics.count(
             "retries" if is_granted else "retries_refused",
@@ -43,7 +46,7 @@
         return is_granted
 
     def refund(self, service, sends):
-        """Return sends that were taken last and reached nobody."""
+        """Undo the last ``sends``, which reached no endpoint."""
         self._budget(service).refund(sends)
         metrics.count("retries_given_back", sends, service=service.name)
 
@@ -56,10 +59,10 @@
         )
 
     def _gateway_count(self):
-        """Return how many instances share the fixed number, if known.
+        """Return how many instances share the slack, ``None`` if unknown.
 
-        One that isn't heard may be cut off and still send, so all count that
-        ever registered.
+        All instances that ever registered count: an unresponsive one may be
+        cut off from the peers and still send to endpoints.
         """
         table = self._peers.table
         if not table.is_whole:
--- a/clementinewall/gateway/callers.py
+++ b/clementinewall/gateway/callers.py
@@ -1,7 +1,7 @@
-"""The connections of callers, and what is answered on them.
+"""Serves the connections of callers.
 
-Each connection has a task.  When its caller leaves while a request is being
-served, the work for it is cancelled.
+Each connection has a task.  When the caller disconnects while a request is
+being served, the work for that request is cancelled.
 """
 
 import random
@@ -24,9 +24,10 @@
     """Serves the callers' connections of this gateway."""
 
     def __init__(self, beliefs, budgets, guard, plain, streams, drain, now):
-        """Hand requests to the relays for plain and for model work.
+        """Dispatch requests to the relays ``plain`` and ``streams``.
 
-        ``drain`` knows what can be finished once the process has to stop.
+        ``drain`` decides which requests can be finished before the process
+        stops; ``now`` returns the time in ms.
         """
         self._beliefs = beliefs
         self._budgets = budgets
@@ -40,7 +41,7 @@
         self.open_requests = 0
 
     def drain(self, left_ms):
-        """End each connection after its next answer, all in ``left_ms``."""
+        """Close each connection after its next answer, within ``left_ms``."""
         self._drain.begin(left_ms)
         for connection in self._connections:
             connection.close_after_answer()
@@ -50,24 +51,24 @@
             scope.deadline = min(scope.deadline, latest)
 
     def stop_reading(self):
-        """Take no further request; close what is idle."""
+        """Read no further request; close idle connections."""
         for connection in self._connections:
             connection.stop_reading()
 
     @property
     def is_connected(self):
-        """Tell whether there is a connection."""
+        """Tell whether any connection is open."""
         return bool(self._connections)
 
     @property
     def is_busy(self):
-        """Tell whether a request is open or on its way."""
+        """Tell whether a request is being served or received."""
         return self.open_requests or not all(
             c.is_idle for c in self._connections
         )
 
     async def serve(self, stream):
-        """Serve one connection until its end."""
+        """Serve one connection until it closes."""
         limits = server.Limits()
         if self._beliefs.configuration is not None:
             limits = self._beliefs.configuration.limits
@@ -104,16 +105,20 @@
         error = errors.BadRequest(refused.why)
         error.status = refused.status
         connection.close_after_answer()
-        _log.info("bytes refused", status=refused.status, why=refused.why)
+        _log.info(
+            "refused malformed request; closing the connection",
+            status=refused.status,
+            why=refused.why,
+        )
         try:
             await connection.answer(*exchanges.problem(error))
         except server.CallerGone:
-            _log.debug("caller gone before the refusal")
+            _log.debug("caller disconnected before the refusal was sent")
         except h11.LocalProtocolError as exc:
-            _log.debug("refusal not sent", why=str(exc))
+            _log.debug("refusal of a malformed request not sent", why=str(exc))
 
     async def _serve_request(self, connection, request):
-        """Answer one request, but stop when its caller has gone."""
+        """Answer one request; cancel it if its caller disconnects."""
         with anyio.CancelScope() as scope:
             connection.when_gone(scope.cancel)
             try:
@@ -136,7 +141,9 @@
         except server.CallerGone:
             connection.close_after_answer()
         except Exception as exc:
-            _log.error("defect", why=repr(exc))
+            _log.error(
+                "unexpected exception while serving a request", why=repr(exc)
+            )
             logs.traceback(_log)
             error = errors.ClementinewallError("internal error")
             await self._fail(connection, request, exchange, error)
@@ -152,7 +159,9 @@
             _choose_service(route.shares)
         )
         if service is None:
-            raise errors.NoEndpoint(f"route {route.name} has no service")
+            raise errors.NoEndpoint(
+                f"no service is configured for route {route.name}"
+            )
         self._budgets.count_request(service)
         self._guard.check(call)
         exchange = exchanges.Exchange(
@@ -170,7 +179,7 @@
         return exchange
 
     def _drain_fields(self, exchange):
-        """Return what the log says of a request that came in a drain."""
+        """Return the log fields for a request that came during a drain."""
         if not self._drain.is_on:
             return {}
         return {"taken_after_ms": self._drain.taken_after_ms(exchange)}
@@ -199,7 +208,7 @@
             self._drain.record_call(exchange)
 
     def _timeout_error(self, exchange):
-        """Return the error for a request whose time is over."""
+        """Return the error for a request that reached its deadline."""
         if not exchange.is_cut_short:
             return errors.DeadlineExceeded("no answer within the timeout")
         metrics.count("cut", route=exchange.route.name)
@@ -212,7 +221,9 @@
             answer_begun=exchange.connection.answered,
         )
         if exchange.sends:
-            return errors.Stopped("the instance stopped before the answer")
+            return errors.Stopped(
+                "the instance stopped before the answer was complete"
+            )
         return errors.Leaving("the instance stopped", retry_after_ms=0)
 
     async def _fail(self, connection, request, exchange, error):
@@ -227,7 +238,8 @@
             why=error.message,
         )
         if connection.answered:
-            # Closing without the end of the body shows that it is cut off.
+            # Closing before the end of the body shows the caller that the
+            # answer is truncated.
             connection.close_after_answer()
             return
         left_ms = exchange.left_ms if exchange else None
@@ -239,7 +251,7 @@
 
 
 def _choose_service(shares):
-    """Return the service of one request, by the weights of the route."""
+    """Return a service name, drawn by the weights of the route."""
     if len(shares) == 1:
         return shares[0].service
     weights = [max(0.0, share.weight) for share in shares]
--- a/clementinewall/gateway/draining.py
+++ b/clementinewall/gateway/draining.py
@@ -1,4 +1,4 @@
-"""The end of this gateway, and what it may still take before it."""
+"""Decides which requests a stopping gateway can still finish."""
 
 import collections
 
@@ -10,16 +10,18 @@
 
 _log = logs.PartLog("drain")
 
-# Routes come and go with each configuration; those used last are remembered.
+# The least recently used routes are dropped: configurations add and remove
+# routes, which would let the table grow without bound.
 MAX_ROUTES = 256
 
 
 class Drain:
-    """Knows when the process ends; takes no work that lasts longer."""
+    """Refuses requests that would outlast the process once it drains."""
 
     def __init__(self, ticker):
-        """Begin without an end."""
-        # The platform doesn't wait for a machine that was suspended.
+        """Start in normal operation."""
+        # The platform's time limit for a stop also runs while the machine is
+        # suspended.
         self._now = ticker.now_with_suspend
         self._ratios_by_route = collections.OrderedDict()
         self._began = None
@@ -32,27 +34,27 @@
 
     @property
     def left_ms(self):
-        """Return the time until requests are cut, ``None`` without an end."""
+        """Return the time until open requests are cut, ``None`` before."""
         if self._end is None:
             return None
         return self._end - self._now()
 
     def begin(self, left_ms):
-        """Finish all requests within ``left_ms``."""
+        """Start the drain; requests still open after ``left_ms`` are cut."""
         self._began = self._now()
         self._end = self._began + left_ms
 
     def taken_after_ms(self, exchange):
-        """Return how long after the stop was asked for a request came."""
+        """Return how long after the start of the drain a request came."""
         return self._now() - self._began - exchange.waited_ms
 
     def record_call(self, exchange):
-        """Learn from a call that was answered."""
+        """Record the duration of a call that was answered."""
         longest_ms = drain.longest_call_ms(exchange.route.goal_ms)
         self._ratios(exchange).record(exchange.waited_ms, longest_ms)
 
     def record_stream(self, exchange, first_ms):
-        """Learn from a stream, of which the first event took ``first_ms``."""
+        """Record the duration of a stream after its first event."""
         longest_ms = drain.longest_run_ms(
             _tokens_out(exchange), exchange.service.engine.slots
         )
@@ -60,9 +62,9 @@
         self._ratios(exchange).record(took_ms, longest_ms)
 
     def check_call(self, exchange):
-        """Refuse a call to a plain service that the end would cut off.
+        """Refuse a call to a plain service that would outlast the process.
 
-        :raises Leaving: it can't be finished here.
+        :raises Leaving: it cannot be finished here.
         """
         if self.is_on:
             usual = self._ratios(exchange).quantile()
@@ -70,9 +72,11 @@
             self._check(exchange, drain.call_ms(goal_ms, usual), usual)
 
     def check_stream(self, exchange, first_ms):
-        """Refuse a stream that has not run, in the same way.
+        """Refuse a stream that has not run and would outlast the process.
 
-        :raises Leaving: it can't be finished here.
+        ``first_ms`` is the predicted time to its first event.
+
+        :raises Leaving: it cannot be finished here.
         """
         if not self.is_on or exchange.verdict is not verdicts.Verdict.NOT_RUN:
             return
@@ -106,7 +110,7 @@
             usual=usual and round(usual, 3),
             left_ms=round(left_ms),
         )
-        # Other instances can serve it at once.
+        # Another instance can serve it at once.
         raise errors.Leaving("this instance is stopping", retry_after_ms=0)
 
 
--- a/clementinewall/gateway/exchange.py
+++ b/clementinewall/gateway/exchange.py
@@ -1,4 +1,4 @@
-"""One request at this gateway, from its arrival to its answer."""
+"""The state of one request, from its arrival to its answer."""
 
 import json
 
@@ -6,15 +6,15 @@
 from clementinewall.http1 import messages
 from clementinewall import verdicts
 
-# Where a refusal doesn't know better: about the time in which a burst of
-# the callers' clumps passes.
+# Default for refusals that give no delay: about the duration of a burst of
+# requests.
 RETRY_AFTER_MS = 300
-# For a request that names no deadline on a route that has no timeout.
+# For a request without a deadline on a route without a timeout.
 DEFAULT_TIMEOUT_MS = 30_000
-# Callers wait no longer than this part of the time that they have left.
+# Retry-After is at most this fraction of the time left to the deadline.
 RETRY_AFTER_FRACTION = 1 / 3
-# How many endpoints may turn out to be unreachable before a request is given
-# up.  Each costs a round trip, or the time limit of a connection.
+# After so many unreachable endpoints a request fails: each one costs a round
+# trip or a connection timeout.
 MAX_UNREACHED_SENDS = 4
 _REASONS = {
     400: b"Bad Request",
@@ -33,10 +33,10 @@
 class AttemptFailed(Exception):
     """One send failed; ``verdict`` says whether the request may have run.
 
-    ``answer`` is the endpoint's own failure, to be handed on if nothing
-    better comes; ``broken`` tells that the connection ended early, and
-    ``reached`` is false if nothing of the request was sent.  ``absent``
-    means that the endpoint isn't there any more.
+    ``answer`` is the error response of the endpoint, which is forwarded if no
+    further send succeeds.  ``broken`` is true if the connection ended early,
+    and ``reached`` is false if nothing of the request was sent.  ``absent``
+    is true if the endpoint no longer exists at its address.
     """
 
     def __init__(
@@ -49,7 +49,7 @@
         reached=True,
         absent=False,
     ):
-        """Keep what is known of the failure."""
+        """Create the error for a send to the endpoint ``endpoint_id``."""
         super().__init__(why)
         self.verdict = verdict
         self.why = why
@@ -61,10 +61,10 @@
 
 
 class Exchange:
-    """A request with its route, its time and what became of it so far."""
+    """A request with its route, its deadline and the sends made so far."""
 
     def __init__(self, connection, call, route, service, now):
-        """Begin at the moment at which the request was read."""
+        """Start the timeout now; ``now`` returns the time in ms."""
         self.connection = connection
         self.call = call
         self.route = route
@@ -74,36 +74,36 @@
         self._caller_end = self.arrived + _timeout_ms(call, route)
         self._end = self._caller_end
         self.verdict = verdicts.Verdict.NOT_RUN
-        # Prompts that engines were asked to read only are counted apart.
+        # Prefills on separate engines are not sends; they are counted apart.
         self.sends = 0
         self.prefills = 0
-        # When the first event of a stream came, since the arrival.
+        # Time from the arrival to the first event of a stream.
         self.first_event_ms = None
         self.tried_ids = set()
         self._unreached = 0
 
     @property
     def left_ms(self):
-        """Return the time left until the final answer is due."""
+        """Return the time left until the deadline of the answer."""
         return self._end - self._now()
 
     @property
     def caller_left_ms(self):
-        """Return the time left as the caller and the route allow it."""
+        """Return the time left by the limits of caller and route only."""
         return self._caller_end - self._now()
 
     @property
     def is_cut_short(self):
-        """Tell whether the process ends before the time is over."""
+        """Tell whether the process stops before the caller's deadline."""
         return self._end < self._caller_end
 
     def end_within(self, left_ms):
-        """Let the time be over in ``left_ms``, or sooner."""
+        """Move the deadline to ``left_ms`` from now if that is sooner."""
         self._end = min(self._end, self._now() + left_ms)
 
     @property
     def waited_ms(self):
-        """Return how long the request is here."""
+        """Return the time since the request arrived."""
         return self._now() - self.arrived
 
     @property
@@ -112,10 +112,11 @@
         return self.sends - self._unreached
 
     def record_failure(self, failure):
-        """Count a send that failed.
+        """Record a send that failed.
 
-        One that reached nobody is no attempt: on a route that allows a
-        single one, each engine that crashed would cost its callers a failure.
+        A send that reached no endpoint does not count as an attempt.  On a
+        route with one attempt, each crashed engine would otherwise cost a
+        caller a failure.
         """
         self.verdict = verdicts.worst(self.verdict, failure.verdict)
         if not failure.reached:
@@ -136,7 +137,7 @@
 
 
 def problem(error, left_ms=None):
-    """Return head and body of the answer to a request that failed."""
+    """Return head and problem+json body of the answer to a failed request."""
     body = json.dumps(
         {
             "code": error.code,
@@ -158,7 +159,7 @@
 
 
 def final_error(exchange, why):
-    """Return the error for a request that no further send can save."""
+    """Return the error for a request that is not sent again."""
     if exchange.verdict is verdicts.Verdict.NOT_RUN:
         return errors.NoEndpoint(why)
     return errors.EndpointFailed(why, exchange.verdict)
--- a/clementinewall/gateway/placing.py
+++ b/clementinewall/gateway/placing.py
@@ -1,4 +1,4 @@
-"""Choosing the engines for a request, from what this gateway knows now."""
+"""Chooses the engines for a request from this gateway's fleet view."""
 
 import random
 import typing
@@ -15,22 +15,24 @@
 _log = logs.PartLog("stream")
 
 EMPTY_PROMPT = domain.Prompt("", 0, 0, ())
-# Returning callers are spread over half as much time again.
+# Refused callers retry after the advised delay plus up to this fraction of it,
+# so that they do not all return at once.
 RETRY_JITTER_FRACTION = 0.5
-# Engines of other cells that are tried where those of the cell fail.
+# Per stage; used when more than half of the engines of the cell are unusable.
 MAX_OTHER_CELL_ENGINES = 2
-# While all engines that decode are gone, one request in this time tries one.
+# While all decode engines are unreachable, one request per interval tries one.
 PROBE_INTERVAL_MS = 500
-# An engine that failed or fell silent is used only if all others are worse.
+# Makes an engine that failed or is unresponsive the last choice.
 UNUSABLE_SLOWNESS = 10.0
 
 
 class Plan(typing.NamedTuple):
-    """The engines chosen for one send; ``prefill_engine`` is set for a split.
+    """The engines chosen for one send of a request.
 
-    ``source`` is an engine from which the beginning of the prompt is fetched,
+    ``prefill_engine`` is set if prefill and decode run on separate engines.
+    ``source`` is the engine from which the prompt prefix is fetched,
     ``run_urgency`` the urgency at the engine that runs the request, and
-    ``prefill_scale`` what the predicted reading was multiplied by.
+    ``prefill_scale`` the factor applied to the predicted prefill time.
     """
 
     prefill_engine: endpoints_module.State | None
@@ -43,21 +45,21 @@
 
     @property
     def measures_prefill_speed(self):
-        """Tell whether nothing but its engine's speed delays the reading."""
+        """Tell whether only the engine's speed determines the prefill time."""
         is_alone = not self.option.wait_ms and self.source is None
         return is_alone and self.prefill_engine is not None
 
     @property
     def unscaled_prefill_ms(self):
-        """Return how long the reading takes by the prediction alone."""
+        """Return the predicted prefill time without the scale."""
         return self.option.prompt_ms / self.prefill_scale
 
 
 class Placer:
-    """Places requests for models."""
+    """Chooses engines for model requests."""
 
     def __init__(self, settings, endpoints, peers, membership, now):
-        """Use what is known of the engines and of the peers' work there."""
+        """Use the known engines and the work that peers announced there."""
         self._link_mbps = settings.link_mbps
         self._endpoints = endpoints
         self._peers = peers
@@ -68,7 +70,10 @@
     def place(self, exchange, last):
         """Choose the engines.
 
+        ``last`` is the failure of the previous send, ``None`` at the first.
+
         :raises Overloaded: the request cannot be served in time.
+        :raises ClementinewallError: no further send can serve the request.
         """
         peers = self._peers.table.states()
         demand = self._demand(exchange, peers)
@@ -95,8 +100,8 @@
             self._engine_view(state, prompt, urgency, peers)
             for state in states.values()
         ]
-        keeper = self._keeper(prompt, states)
-        chosen = placement.choose(known, demand, keeper)
+        holder = self._cache_holder(prompt, states)
+        chosen = placement.choose(known, demand, holder)
         self._record_probe(known, chosen)
         if isinstance(chosen, placement.Refusal):
             if last is None or not _is_worth_serving_late(chosen, exchange):
@@ -133,17 +138,17 @@
         )
 
     def _candidates(self, engines):
-        """Return the engines of the cell, and others where most of it fails.
+        """Return the engines of the cell, and others if most of these fail.
 
-        When many engines crash at once a cell may have none of a stage left
-        while those of other cells have room.  Nothing is known of the work
-        there, so some are drawn at random.
+        When many engines crash at once, a cell may have no usable engine of
+        a stage while other cells have headroom.  The work in other cells is
+        unknown here, so engines are drawn from them at random.
         """
         close = self._membership.own_engines(engines)
         found = list(close)
         for stage in domain.STAGES:
-            own = [s for s in close if s.endpoint.stage == stage]
-            if sum(s.is_usable() for s in own) * 2 >= len(own):
+            in_cell = [s for s in close if s.endpoint.stage == stage]
+            if sum(s.is_usable() for s in in_cell) * 2 >= len(in_cell):
                 continue
             others = [
                 state
@@ -157,15 +162,15 @@
             )
         return found
 
-    def _keeper(self, prompt, states):
-        """Return an engine outside the cell that keeps the beginning."""
-        keeper = self._endpoints.keepers.find(prompt.parts[:-1])
-        if keeper is None or keeper.endpoint_id in states:
+    def _cache_holder(self, prompt, states):
+        """Return a cache holder of the prompt prefix outside the cell."""
+        holder = self._endpoints.keepers.find(prompt.parts[:-1])
+        if holder is None or holder.endpoint_id in states:
             return None
-        state = self._endpoints.find(keeper.endpoint_id)
+        state = self._endpoints.find(holder.endpoint_id)
         if state is None or not state.is_usable():
             return None
-        return placement.CacheHolder(keeper.endpoint_id, keeper.tokens)
+        return placement.CacheHolder(holder.endpoint_id, holder.tokens)
 
     def _demand(self, exchange, peers):
         prompt = exchange.call.prompt or EMPTY_PROMPT
@@ -192,13 +197,16 @@
         )
 
     def _record_probe(self, known, chosen):
-        """Note if a request tries an engine that is gone."""
-        gone = {engine.id for engine in known if engine.unreachable}
-        if isinstance(chosen, placement.Option) and chosen.decode in gone:
+        """Record the time if the request probes an unreachable engine."""
+        unreachable = {engine.id for engine in known if engine.unreachable}
+        if (
+            isinstance(chosen, placement.Option)
+            and chosen.decode in unreachable
+        ):
             self._probed_at = self._now()
 
     def _transfer_ms(self, body):
-        """Return how long this instance's link takes for a body."""
+        """Return the time to send ``body`` over this instance's link."""
         if not self._link_mbps:
             return 0.0
         return len(body) * 8 / (self._link_mbps * 1_000)
@@ -214,11 +222,11 @@
                 jobs.extend(work.jobs)
                 streams += work.streams
                 last_end = max(last_end, work.last_end)
-        waiting = prefill_queue.wait_ms(jobs, last_end, self._now(), urgency)
+        wait_ms = prefill_queue.wait_ms(jobs, last_end, self._now(), urgency)
         return placement.Engine(
             id=endpoint.id,
             prefill=endpoint.stage == domain.PREFILL,
-            wait_ms=waiting,
+            wait_ms=wait_ms,
             streams=streams,
             slots=max(1, endpoint.slots),
             cached=state.cache.leading_tokens(prompt.parts[:-1]),
@@ -243,17 +251,17 @@
         metrics.count("refused", route=exchange.route.name)
         if last is not None:
             raise exchanges.final_error(exchange, last.why)
-        spread = 1 + RETRY_JITTER_FRACTION * random.random()
+        jitter = 1 + RETRY_JITTER_FRACTION * random.random()
         raise errors.Overloaded(
-            refusal.why, retry_after_ms=refusal.retry_ms * spread
+            refusal.why, retry_after_ms=refusal.retry_ms * jitter
         )
 
 
 def _is_worth_serving_late(refusal, exchange):
-    """Tell whether a further send is worth it although it comes late.
+    """Tell whether to send again although the first event misses its target.
 
-    What was begun has cost an engine's time already, and a stream that stops
-    midway is worth less to its caller than one that pauses.
+    The earlier send has already cost engine time, and a stream that breaks
+    off is worth less to its caller than one that pauses.
     """
     best = refusal.best
     return best is not None and best.first_ms < exchange.left_ms
--- a/clementinewall/gateway/plain_relay.py
+++ b/clementinewall/gateway/plain_relay.py
@@ -1,4 +1,4 @@
-"""Calls to plain services."""
+"""Relays calls to plain services, which are not model engines."""
 
 import anyio
 
@@ -11,18 +11,18 @@
 
 _log = logs.PartLog("plain")
 
-# The first send of a call that may be repeated gets this part of the time,
-# so that an endpoint that hangs leaves time for another.
-FIRST_PART = 0.5
-# What being in this data centre weighs, in waiting or running calls.
-NEAR_WORTH = 0.2
+# A send of an idempotent call that may be repeated gets this fraction of the
+# time left, so that an endpoint that hangs leaves time for another.
+SEND_TIMEOUT_FRACTION = 0.5
+# Added to the load of an endpoint in another data centre.
+REMOTE_PENALTY_CALLS = 0.2
 
 
 class PlainRelay:
-    """Carries calls to the endpoints of a service and the answers back."""
+    """Sends calls to the endpoints of a service and returns the answers."""
 
     def __init__(self, settings, endpoints, budgets, guard, now):
-        """Use the gateway's parts."""
+        """Use the gateway's shared components; ``now`` returns ms."""
         self._guard = guard
         self._settings = settings
         self._endpoints = endpoints
@@ -32,11 +32,11 @@
     async def run(self, exchange):
         """Answer the call.
 
-        :raises ClementinewallError: it could not be answered.
+        :raises ClementinewallError: no endpoint answered the call.
         """
         last = None
         while True:
-            state = self._pick(exchange)
+            state = self._choose_endpoint(exchange)
             if state is None:
                 break
             spent = 1 if exchange.reached_sends else 0
@@ -53,7 +53,7 @@
                 last = exc
                 if spent and not exc.reached:
                     self._budgets.refund(exchange.service, spent)
-                self._note_failure(exchange, state, exc)
+                self._record_failure(exchange, state, exc)
                 if not exchange.may_retry():
                     break
                 continue
@@ -65,10 +65,10 @@
             head, body = last.answer
             await exchange.connection.answer(calls.forwarded(head), body)
             return
-        why = last.why if last else "no endpoint takes work"
+        why = last.why if last else "no endpoint of the service is available"
         raise exchanges.final_error(exchange, why)
 
-    def _pick(self, exchange):
+    def _choose_endpoint(self, exchange):
         states = [
             state
             for state in self._endpoints.of_service(exchange.service.name)
@@ -77,15 +77,18 @@
         usable = [s for s in states if s.is_usable()] or states
         if not usable:
             return None
-        return min(usable, key=self._weight)
+        return min(usable, key=self._load_key)
 
-    def _weight(self, state):
-        here = state.endpoint.data_centre == self._settings.data_centre
-        told = 0
+    def _load_key(self, state):
+        is_local = state.endpoint.data_centre == self._settings.data_centre
+        # A reported load is used for 500 ms.
+        reported = 0
         if state.load is not None and self._now() - state.load_at < 500:
-            told = max(0, state.load.running + state.load.waiting)
-        busy = max(state.open, told)
-        return busy + (0 if here else NEAR_WORTH), state.endpoint.id
+            reported = max(0, state.load.running + state.load.waiting)
+        open_calls = max(state.open, reported)
+        return open_calls + (
+            0 if is_local else REMOTE_PENALTY_CALLS
+        ), state.endpoint.id
 
     async def _attempt(self, exchange, state):
         exchange.sends += 1
@@ -95,8 +98,10 @@
             exchange.route.idempotent
             and exchange.reached_sends < exchange.route.max_attempts
         )
-        # The last send ends with the request itself.
-        limit = None if is_last else clock.seconds(left_ms * FIRST_PART)
+        # The last send may use all the time of the request.
+        limit = (
+            None if is_last else clock.seconds(left_ms * SEND_TIMEOUT_FRACTION)
+        )
         _log.info(
             "sent",
             request=exchange.call.attempt,
@@ -117,12 +122,14 @@
                 f"no answer in {limit:.3f} s",
                 state.endpoint.id,
             ) from exc
-        return self._checked(exchange, sent, body)
+        return self._checked_answer(exchange, sent, body)
 
-    def _checked(self, exchange, sent, body):
+    def _checked_answer(self, exchange, sent, body):
         head = sent.head
         if head.status < 400 and not calls.is_whole_success(head):
-            raise sent.failure("a success without the endpoint's stamp")
+            raise sent.failure(
+                "success response without the endpoint's Server-Stamp"
+            )
         answer = head, body
         if head.status >= 500 and exchange.route.idempotent:
             raise sent.failure(
@@ -130,7 +137,7 @@
             )
         return answer
 
-    def _note_failure(self, exchange, state, exc):
+    def _record_failure(self, exchange, state, exc):
         exchange.record_failure(exc)
         if exc.answer is None:
             state.health.record_failure(self._now(), exc.absent)
--- a/clementinewall/gateway/retry_budget.py
+++ b/clementinewall/gateway/retry_budget.py
@@ -1,59 +1,59 @@
-"""The retry budget, kept by each gateway without asking the others.
+"""The retry budget, kept by each gateway without coordination.
 
 Sending a request to a second endpoint adds load just when endpoints fail.
-The deployment allows, for each service, a part of its requests and a fixed
-number besides, for all gateways together in a sliding window.
-
-Credit is earned by requests that this process has seen in the last window.
-A window of the deployment may hold what was earned in it and in the one
-before it, at other gateways or in an earlier process of this instance; so a
-request earns half of the ratio.  The fixed number is shared by all instances
-that ever registered.  A process that isn't its instance's first uses its share
-only when it is older than a window, since the one before it may have spent
-the same.  With both, no demand, restart or loss of gateways takes the sum over
-the bound.
+For each service and sliding window, the deployment allows all gateways
+together a ratio of the requests plus a fixed number, the slack.
+
+A process earns credit from the requests that it received in the last window.
+Sends in one window of the deployment may spend credit of that window and of
+the one before it, at other gateways or in an earlier process of this instance;
+so a request earns half of the ratio.  The slack is shared by all instances
+that ever registered.  A process that is not the first of its instance uses its
+share only once it is older than a window, since its predecessor may have spent
+the same share.  With both rules, no load, restart or loss of gateways takes
+the sum over the bound.
 """
 
 import collections
 
-# What a request earns, of the deployment's ratio.
+# A request earns this fraction of the deployment's retry ratio.
 EARNED_FRACTION = 0.5
-# Of the fixed number.  The rest is for sends that arrive later than they were
-# counted, and for instances that others don't know yet.
-SHARED_FRACTION = 0.9
+# Of the slack.  The rest covers sends that arrive in a later window than the
+# one they were counted in, and instances that others do not know yet.
+SHARED_SLACK_FRACTION = 0.9
 
 
 def slack_share(bounds, gateways, age_ms, is_first):
-    """Return what one process may spend of the fixed number.
+    """Return how many sends of the slack one process may spend.
 
-    ``gateways`` is how many instances share it, ``None`` if that isn't known;
-    ``is_first`` tells that no process of this instance was there before.
+    ``gateways`` is how many instances share the slack, ``None`` if unknown;
+    ``is_first`` is true if this is the first process of its instance.
     """
     if gateways is None:
         return 0.0
     if not is_first and age_ms < bounds.retry_window_ms:
         return 0.0
-    return SHARED_FRACTION * bounds.retry_slack / gateways
+    return SHARED_SLACK_FRACTION * bounds.retry_slack / gateways
 
 
 class Budget:
     """The budget of one service in one process of a gateway."""
 
     def __init__(self, bounds, now):
-        """Begin with no request."""
+        """Start without credit; ``now`` returns the time in ms."""
         self._bounds = bounds
         self._now = now
         self._requests = collections.deque()
         self._sends = collections.deque()
 
     def count_request(self):
-        """Count a request of a caller."""
+        """Earn credit for a request of a caller."""
         now = self._now()
         self._requests.append(now)
         self._trim(now)
 
     def spend(self, share, sends=1):
-        """Take further sends; return whether so many were left.
+        """Spend further sends if all are allowed; return whether they are.
 
         ``share`` is what :func:`slack_share` allows.
         """
@@ -63,7 +63,7 @@
         return True
 
     def can_spend(self, share, sends=1):
-        """Tell whether so many further sends could be taken."""
+        """Tell whether the budget allows ``sends`` further sends."""
         self._trim(self._now())
         earned = (
             EARNED_FRACTION * self._bounds.retry_ratio * len(self._requests)
@@ -71,7 +71,7 @@
         return len(self._sends) + sends <= earned + share
 
     def refund(self, sends):
-        """Return sends that were taken last and reached nobody."""
+        """Undo the last ``sends``, which reached no endpoint."""
         for _ in range(min(sends, len(self._sends))):
             self._sends.pop()
 
--- a/clementinewall/gateway/sending.py
+++ b/clementinewall/gateway/sending.py
@@ -1,4 +1,4 @@
-"""One send of a request to one endpoint, up to the head of its answer."""
+"""Sends a request to one endpoint and reads the head of the answer."""
 
 import contextlib
 
@@ -14,19 +14,19 @@
 
 
 class SentRequest:
-    """A request that was sent; its answer is read from ``link``."""
+    """A request that was sent; ``link`` is at the body of its answer."""
 
     def __init__(self, state, link, head):
-        """Keep the link and the head of the answer."""
+        """Take the link and the head of the answer read from it."""
         self.state = state
         self.link = link
         self.head = head
         self.is_complete = False
 
     async def read_all(self):
-        """Return the rest of the answer.
+        """Return the rest of the body.
 
-        :raises AttemptFailed: it broke off.
+        :raises AttemptFailed: the connection broke before its end.
         """
         try:
             body = await self.link.read_rest(MAX_ANSWER_BYTES)
@@ -36,9 +36,10 @@
         return body
 
     async def read_part(self, silence_timeout_ms=None):
-        """Return the next part of the answer, ``None`` at its whole end.
+        """Return the next bytes of the body, ``None`` at its regular end.
 
-        :raises AttemptFailed: it broke off, or nothing came for so long.
+        :raises AttemptFailed: the connection broke, or nothing arrived for
+            ``silence_timeout_ms``.
         """
         try:
             part = await self.link.read_part(silence_timeout_ms)
@@ -59,7 +60,7 @@
         answer=None,
         broken=False,
     ):
-        """Return the error for an answer that can't be used."""
+        """Return the error for an answer that cannot be used."""
         return exchanges.AttemptFailed(
             verdict, why, self.state.endpoint.id, answer, broken
         )
@@ -67,11 +68,14 @@
 
 @contextlib.asynccontextmanager
 async def send(call, state, request, now, silence_timeout_ms=None):
-    """Send and wait for the head; close the link unless the answer ended.
+    """Send ``request``, wait for the head and yield a :class:`SentRequest`.
 
-    Without a head within ``silence_timeout_ms`` the attempt counts as failed.
+    The link goes back to the pool only if the answer was read to its end;
+    otherwise it is closed.
 
-    :raises AttemptFailed: with what is known of whether it ran.
+    :raises AttemptFailed: the connection failed, no head arrived within
+        ``silence_timeout_ms``, or the endpoint refused; its verdict says
+        whether the request may have run.
     """
     link = None
     sent = None
@@ -117,13 +121,13 @@
 async def _matching_head(call, link, silence_timeout_ms):
     """Return the head of the answer to this call.
 
-    An endpoint may send a second answer to an earlier request late; handing
-    it on would give one caller the answer of another.
+    An endpoint may send a late second answer to an earlier request.
+    Forwarding it would give one caller the answer of another.
     """
     head = await link.read_head(silence_timeout_ms)
     while not calls.is_answer_to(head, call):
         _log.warning(
-            "answer to another request dropped",
+            "dropped an answer to another request on this connection",
             request=call.attempt,
             status=head.status,
         )
--- a/clementinewall/gateway/sse.py
+++ b/clementinewall/gateway/sse.py
@@ -1,57 +1,59 @@
-"""Events of a streamed answer, passed on whole and in order.
+"""Splits a stream of server-sent events and checks their order.
 
-An engine may stop in the middle of an event, and after a change of engine
-may repeat events that the caller has.  Only whole events with the next
-position go on.
+An engine may stop in the middle of an event, and a second engine that resumes
+the stream may repeat events that the caller already has.  Only complete events
+with the next position are forwarded.
 """
 
 _END = b"\n\n"
-EVENT_BYTES = 1_000_000
+MAX_EVENT_BYTES = 1_000_000
 
 
 class BadEvent(Exception):
-    """The engine's bytes are no stream of events in order."""
+    """The engine's bytes are not a stream of events in order."""
 
 
 class Events:
-    """Cuts an answer into events and checks their positions."""
+    """Splits an answer into events and checks their positions."""
 
     def __init__(self, last):
-        """Expect the event after ``last``; ``None`` takes any first one."""
-        self.last = last
-        self._rest = b""
+        """Expect the event after ``last``; ``None`` accepts any first one."""
+        self.last_position = last
+        self._buffer = b""
 
     @property
-    def is_whole(self):
-        """Tell whether no part of an event is left over."""
-        return not self._rest.strip()
+    def is_complete(self):
+        """Tell whether the bytes so far end with a complete event."""
+        return not self._buffer.strip()
 
-    def restart(self):
-        """Begin with the bytes of another engine."""
-        self._rest = b""
+    def reset(self):
+        """Drop a partial event before the bytes of another engine."""
+        self._buffer = b""
 
     def feed(self, data):
-        """Return the bytes of the whole new events in ``data``.
+        """Return the bytes of the complete new events in ``data``.
 
         :raises BadEvent: an event is missing or too long.
         """
-        parts = (self._rest + data).split(_END)
-        self._rest = parts.pop()
-        if len(self._rest) > EVENT_BYTES:
-            raise BadEvent(f"an event of over {EVENT_BYTES} bytes")
-        fresh = [part + _END for part in parts if self._is_new(part)]
-        return b"".join(fresh)
+        parts = (self._buffer + data).split(_END)
+        self._buffer = parts.pop()
+        if len(self._buffer) > MAX_EVENT_BYTES:
+            raise BadEvent(f"event exceeds {MAX_EVENT_BYTES} bytes")
+        new_events = [part + _END for part in parts if self._is_new(part)]
+        return b"".join(new_events)
 
     def _is_new(self, event):
         position = _position(event)
         if position is None:
             return True
-        if self.last is not None:
-            if position <= self.last:
+        if self.last_position is not None:
+            if position <= self.last_position:
                 return False
-            if position > self.last + 1:
-                raise BadEvent(f"event {position} follows {self.last}")
-        self.last = position
+            if position > self.last_position + 1:
+                raise BadEvent(
+                    f"event {position} follows event {self.last_position}"
+                )
+        self.last_position = position
         return True
 
 
--- a/clementinewall/gateway/stream_relay.py
+++ b/clementinewall/gateway/stream_relay.py
@@ -1,4 +1,4 @@
-"""Work for model engines: placing, prefill, streams and their resumption."""
+"""Relays model requests: placement, prefill, streaming and resumption."""
 
 import anyio
 
@@ -18,33 +18,43 @@
 _log = logs.PartLog("stream")
 
 FREE_TIMEOUT_MS = 1_000
-# A prompt that takes this many times as long as predicted, and half a second
-# more, is read elsewhere: reading is no run, so this is always allowed.
-PREFILL_PATIENCE = 3.0
+# A prefill that exceeds this multiple of its predicted time plus the slack is
+# done on another engine.  A prefill does not run the request, so repeating it
+# is always allowed.
+PREFILL_TIMEOUT_FACTOR = 3.0
 PREFILL_SLACK_MS = 500
-# Reading a prompt again and sending the request once more.
-READ_AGAIN_SENDS = 2
-# Callers give up a stream after a pause of 2,000 ms or more.  Half of it is
-# left for another engine to read the prompt again.
-SILENCE_MS = 1_000
-SILENCE_PAUSES = 4
+# A second prefill and a second send of the request.
+PREFILL_RETRY_SENDS = 2
+# Callers give up a stream after a pause of 2,000 ms or more.  Half of that is
+# left for another engine to prefill the prompt again.
+MIN_SILENCE_TIMEOUT_MS = 1_000
+# In gaps between events as the route's target allows them.
+SILENCE_TIMEOUT_GAPS = 4
 
 
 class StreamRelay:
-    """Carries streams from the engines of a service to callers."""
+    """Relays streams from the engines of a service to callers."""
 
     def __init__(
-        self, endpoints, placer, tell_prompt, budgets, guard, drain, group, now
+        self,
+        endpoints,
+        placer,
+        announce_prompt,
+        budgets,
+        guard,
+        drain,
+        group,
+        now,
     ):
-        """Use the gateway's parts.
+        """Use the gateway's shared components.
 
-        ``tell_prompt`` lets the peers know of a new prompt; ``group`` runs
-        what outlives a request.
+        ``announce_prompt`` sends a new prompt to the peers; ``group`` is the
+        task group for work that outlives a request.
         """
         self._drain = drain
         self._endpoints = endpoints
         self._placer = placer
-        self._tell_prompt = tell_prompt
+        self._announce_prompt = announce_prompt
         self._budgets = budgets
         self._guard = guard
         self._group = group
@@ -53,16 +63,16 @@
     async def run(self, exchange):
         """Answer the request.
 
-        :raises ClementinewallError: it could not be answered.
+        :raises ClementinewallError: no engine answered the request.
         """
         stream = stream_answer.StreamAnswer(exchange)
         last = None
         while True:
             plan = self._placer.place(exchange, last)
             self._drain.check_stream(exchange, plan.option.first_ms)
-            spent = _further_sends(exchange, plan)
+            spent = _budgeted_sends(exchange, plan)
             if spent and not self._budgets.spend(
-                exchange.service, spent, _reason(exchange)
+                exchange.service, spent, _retry_reason(exchange)
             ):
                 _log.info(
                     "no budget", request=exchange.call.attempt, sends=spent
@@ -72,17 +82,17 @@
                 await self._run_plan(exchange, stream, plan)
             except exchanges.AttemptFailed as exc:
                 last = exc
-                unused = _unused_sends(plan, spent, exc)
+                unused = _refundable_sends(plan, spent, exc)
                 if unused:
                     self._budgets.refund(exchange.service, unused)
-                self._note_failure(exchange, exc, not stream.had_first)
+                self._record_failure(exchange, exc, not stream.has_first_event)
                 if not exchange.may_retry():
                     break
                 continue
             if exchange.first_event_ms is not None:
                 self._drain.record_stream(exchange, exchange.first_event_ms)
             return
-        if last.answer is not None and not stream.started:
+        if last.answer is not None and not stream.head_sent:
             head, body = last.answer
             await exchange.connection.answer(calls.forwarded(head), body)
             return
@@ -92,72 +102,82 @@
         prefilled = None
         if plan.prefill_engine is not None:
             prefilled = await self._prefill(exchange, plan)
-            self._check_time(exchange, plan, prefilled)
+            self._check_drain(exchange, plan, prefilled)
         exchange.sends += 1
-        decoder = plan.decode_engine
-        if not self._endpoints.is_current(decoder):
-            # It began to leave while the prompt was read elsewhere, and must
-            # get no new work.
+        decode_engine = plan.decode_engine
+        if not self._endpoints.is_current(decode_engine):
+            # It started draining during the prefill on another engine, and
+            # must get no new work.
             if prefilled is not None:
                 self._group.start_soon(
-                    self._free, plan.prefill_engine, prefilled
+                    self._free_handle, plan.prefill_engine, prefilled
                 )
             raise exchanges.AttemptFailed(
                 verdicts.Verdict.NOT_RUN,
-                "the engine is leaving",
-                decoder.endpoint.id,
+                "the engine is draining",
+                decode_engine.endpoint.id,
                 reached=False,
             )
-        exchange.tried_ids.add(decoder.endpoint.id)
+        exchange.tried_ids.add(decode_engine.endpoint.id)
         request = calls.run(
             exchange.call,
-            decoder.endpoint,
+            decode_engine.endpoint,
             exchange.left_ms,
-            stream.events.last,
+            stream.events.last_position,
             prefilled,
             plan.run_urgency,
             None if prefilled else _source(plan),
         )
-        decoder.streams += 1
+        decode_engine.streams += 1
         job = None
         if not prefilled:
-            job = decoder.begin_prompt(plan.run_urgency, plan.option.prompt_ms)
-            self._tell_prompt(job)
-        stream.begin(lambda: self._first(exchange, plan, job))
-        taken = False
-        silence_timeout_ms = self._silence_ms(exchange, plan)
+            job = decode_engine.begin_prompt(
+                plan.run_urgency, plan.option.prompt_ms
+            )
+            self._announce_prompt(job)
+        stream.begin(lambda: self._on_first_event(exchange, plan, job))
+        is_accepted = False
+        silence_timeout_ms = self._silence_timeout_ms(exchange, plan)
         try:
             async with sending.send(
-                exchange.call, decoder, request, self._now, silence_timeout_ms
+                exchange.call,
+                decode_engine,
+                request,
+                self._now,
+                silence_timeout_ms,
             ) as sent:
-                taken = True
-                await stream.carry(sent, silence_timeout_ms)
+                is_accepted = True
+                await stream.forward(sent, silence_timeout_ms)
         finally:
-            decoder.streams -= 1
-            if job is not None and not stream.had_first:
-                decoder.end_prompt(job, False)
-            if prefilled is not None and not taken:
+            decode_engine.streams -= 1
+            if job is not None and not stream.has_first_event:
+                decode_engine.end_prompt(job, False)
+            if prefilled is not None and not is_accepted:
                 self._group.start_soon(
-                    self._free, plan.prefill_engine, prefilled
+                    self._free_handle, plan.prefill_engine, prefilled
                 )
-        decoder.health.record_success()
+        decode_engine.health.record_success()
+
+    def _check_drain(self, exchange, plan, prefilled):
+        """Refuse a stream that cannot end before the process stops.
 
-    def _check_time(self, exchange, plan, prefilled):
-        """Refuse a stream that the end came too near to while it waited.
+        The drain may have begun during the prefill.
 
-        :raises Leaving: it can't be finished here.
+        :raises Leaving: it cannot be finished here.
         """
         try:
             self._drain.check_stream(exchange, 0)
         except errors.Leaving:
-            self._group.start_soon(self._free, plan.prefill_engine, prefilled)
+            self._group.start_soon(
+                self._free_handle, plan.prefill_engine, prefilled
+            )
             raise
 
-    def _silence_ms(self, exchange, plan):
-        """Return how long the engine may say nothing, or ``None``.
+    def _silence_timeout_ms(self, exchange, plan):
+        """Return how long the engine may send nothing, or ``None``.
 
-        Without another send left, an answer that comes late is better than
-        none.
+        If the request cannot be sent again, a late answer is better than
+        none, so there is no timeout.
         """
         route = exchange.route
         if (
@@ -165,7 +185,7 @@
             or exchange.reached_sends >= route.max_attempts
         ):
             return None
-        if not self._budgets.can_spend(exchange.service, READ_AGAIN_SENDS):
+        if not self._budgets.can_spend(exchange.service, PREFILL_RETRY_SENDS):
             return None
         others = [
             state
@@ -175,11 +195,11 @@
         ]
         if not others:
             return None
-        expected = plan.option.first_ms * PREFILL_PATIENCE
-        pauses = SILENCE_PAUSES * route.gap_goal_ms
-        return max(SILENCE_MS, expected, pauses)
+        expected_ms = plan.option.first_ms * PREFILL_TIMEOUT_FACTOR
+        gaps_ms = SILENCE_TIMEOUT_GAPS * route.gap_goal_ms
+        return max(MIN_SILENCE_TIMEOUT_MS, expected_ms, gaps_ms)
 
-    def _first(self, exchange, plan, job):
+    def _on_first_event(self, exchange, plan, job):
         if job is not None:
             plan.decode_engine.end_prompt(job, True)
         if exchange.call.prompt:
@@ -198,59 +218,65 @@
             predicted_ms=round(plan.option.first_ms),
         )
 
-    def _reading_silence_ms(self, exchange, plan):
-        """Return how long a reading engine may say nothing, or ``None``.
+    def _prefill_silence_timeout_ms(self, exchange, plan):
+        """Return how long a prefill engine may send nothing, or ``None``.
 
-        Given up without a budget to read it elsewhere, the prompt would have
-        been read in vain.
+        Without budget to repeat the prefill elsewhere, giving it up would
+        only waste it, so there is no timeout.
         """
-        if not self._budgets.can_spend(exchange.service, READ_AGAIN_SENDS):
+        if not self._budgets.can_spend(exchange.service, PREFILL_RETRY_SENDS):
             return None
-        expected = plan.option.wait_ms + plan.option.prompt_ms
-        return PREFILL_PATIENCE * expected + PREFILL_SLACK_MS
+        expected_ms = plan.option.wait_ms + plan.option.prompt_ms
+        return PREFILL_TIMEOUT_FACTOR * expected_ms + PREFILL_SLACK_MS
 
     async def _prefill(self, exchange, plan):
-        reader = plan.prefill_engine
+        prefill_engine = plan.prefill_engine
         prompt_ms = plan.option.prompt_ms
         request = calls.prefill(
             exchange.call,
-            reader.endpoint,
+            prefill_engine.endpoint,
             exchange.left_ms,
             plan.urgency,
             _source(plan),
         )
         started = self._now()
-        job = reader.begin_prompt(plan.urgency, prompt_ms)
-        was_read = False
-        self._tell_prompt(job)
-        silence_timeout_ms = self._reading_silence_ms(exchange, plan)
+        job = prefill_engine.begin_prompt(plan.urgency, prompt_ms)
+        is_prefilled = False
+        self._announce_prompt(job)
+        silence_timeout_ms = self._prefill_silence_timeout_ms(exchange, plan)
         try:
             async with sending.send(
-                exchange.call, reader, request, self._now, silence_timeout_ms
+                exchange.call,
+                prefill_engine,
+                request,
+                self._now,
+                silence_timeout_ms,
             ) as sent:
                 body = await sent.read_all()
-            was_read = True
+            is_prefilled = True
             exchange.prefills += 1
         except exchanges.AttemptFailed as exc:
-            # Only the prompt was read, so the request itself has not run.
+            # Only the prefill was tried, so the request itself has not run.
             exchange.sends += 1
             if exc.reached and exc.verdict is not verdicts.Verdict.NOT_RUN:
                 exchange.prefills += 1
-            exchange.tried_ids.add(reader.endpoint.id)
+            exchange.tried_ids.add(prefill_engine.endpoint.id)
             exc.verdict = verdicts.Verdict.NOT_RUN
             raise
         finally:
-            reader.end_prompt(job, was_read)
+            prefill_engine.end_prompt(job, is_prefilled)
         try:
-            prefilled = calls.prefilled(reader.endpoint, body)
+            prefilled = calls.prefilled(prefill_engine.endpoint, body)
         except errors.BadRecord as exc:
             exchange.sends += 1
             raise exchanges.AttemptFailed(
-                verdicts.Verdict.NOT_RUN, exc.message, reader.endpoint.id
+                verdicts.Verdict.NOT_RUN,
+                exc.message,
+                prefill_engine.endpoint.id,
             ) from exc
-        reader.health.record_success()
+        prefill_engine.health.record_success()
         took_ms = self._now() - started
-        self._endpoints.note_read(reader, exchange.call.prompt)
+        self._endpoints.note_read(prefill_engine, exchange.call.prompt)
         if plan.measures_prefill_speed:
             self._endpoints.scales.record(
                 exchange.service.name,
@@ -260,7 +286,7 @@
         _log.info(
             "prompt read",
             request=exchange.call.attempt,
-            engine=reader.endpoint.id,
+            engine=prefill_engine.endpoint.id,
             took_ms=took_ms,
             wait_ms=round(plan.option.wait_ms),
             prompt_ms=round(prompt_ms),
@@ -268,15 +294,20 @@
         )
         return prefilled
 
-    async def _free(self, reader, prefilled):
+    async def _free_handle(self, prefill_engine, prefilled):
         request = calls.free(prefilled.handle)
         with anyio.move_on_after(clock.seconds(FREE_TIMEOUT_MS)):
             try:
-                await reader.pool.ask(request, sending.MAX_ANSWER_BYTES)
+                await prefill_engine.pool.ask(
+                    request, sending.MAX_ANSWER_BYTES
+                )
             except client.LinkBroken as exc:
-                _log.info("handle not freed", why=exc.why)
+                _log.info(
+                    "prefill handle not freed; the engine did not answer",
+                    why=exc.why,
+                )
 
-    def _note_failure(self, exchange, exc, before_first):
+    def _record_failure(self, exchange, exc, before_first):
         exchange.record_failure(exc)
         for state in self._endpoints.of_service(exchange.service.name):
             if state.endpoint.id == exc.endpoint_id and exc.answer is None:
@@ -293,12 +324,12 @@
         )
 
 
-def _further_sends(exchange, plan):
-    """Return how many sends of a plan draw on the budget.
+def _budgeted_sends(exchange, plan):
+    """Return how many sends of a plan draw on the retry budget.
 
-    Only the first reading of a prompt is free.  Retries that were counted once
-    went over the deployment's bound when decode engines were replaced under
-    load.
+    Only the first prefill of a request is free.  A retry with a prefill
+    reaches two engines: counted as one send, retries exceeded the
+    deployment's bound when decode engines were replaced under load.
     """
     sends = 0
     if exchange.reached_sends:
@@ -308,18 +339,21 @@
     return sends
 
 
-def _unused_sends(plan, spent, failure):
-    """Return how many of the sends that were taken reached nobody."""
+def _refundable_sends(plan, spent, failure):
+    """Return how many of the budgeted sends reached no engine."""
     reached = 1 if failure.reached else 0
-    reader = plan.prefill_engine
-    if reader is not None and failure.endpoint_id == reader.endpoint.id:
-        # The stream itself was not asked for.
+    prefill_engine = plan.prefill_engine
+    if (
+        prefill_engine is not None
+        and failure.endpoint_id == prefill_engine.endpoint.id
+    ):
+        # The prefill failed, so the request was not sent for decode.
         return max(0, spent - reached)
     return min(spent, 1 - reached)
 
 
-def _reason(exchange):
-    """Return what further sends are for, as a label."""
+def _retry_reason(exchange):
+    """Return the reason for further sends, as a metrics label."""
     if exchange.first_event_ms is not None:
         return "resume"
     return "read again" if exchange.prefills else "send again"
