--- a/tests/gateway/test_placing.py
+++ b/tests/gateway/test_placing.py
@@ -1,4 +1,4 @@
-"""Which engines a gateway takes into account."""
+"""Which engines the placer of a gateway considers."""
 
 import types
 import unittest
@@ -55,10 +55,10 @@
 
 
 class Placing(unittest.TestCase):
-    """One of 32 gateways in four cells, before 24 engines."""
+    """One of 32 gateways in four cells, with 24 engines."""
 
     def setUp(self):
-        """Know all gateways and engines."""
+        """Create a placer that knows all gateways and engines."""
         self.ticker = clock.ManualClock(100_000)
         now = self.ticker.now
         self.beliefs = beliefs.Beliefs(now)
@@ -94,47 +94,50 @@
         )
         return self.placer.place(exchange, None)
 
-    def own(self, stage):
-        """Return the engines of the cell in a stage."""
+    def cell_engines(self, stage):
+        """Return the engines of a stage in the gateway's cell."""
         return [
             state
             for state in self.endpoints.of_service("model")
             if self.membership.is_own(state) and state.endpoint.stage == stage
         ]
 
-    def test_the_cell_serves_itself(self):
+    def test_requests_stay_in_the_cell(self):
         for _ in range(50):
             plan = self.place()
             self.assertTrue(self.membership.is_own(plan.decode_engine))
             self.assertTrue(self.membership.is_own(plan.prefill_engine))
 
-    def test_other_cells_help_where_all_engines_of_a_stage_crashed(self):
-        # All decode engines of a cell crash together.  Its gateways would
-        # refuse every caller for seconds while three other cells have room.
-        for state in self.own(domain.DECODE):
+    def test_engines_of_other_cells_are_used_if_those_of_a_stage_crashed(self):
+        # Guards against refusing every caller for seconds when all decode
+        # engines of a cell crash while three other cells have headroom.
+        for state in self.cell_engines(domain.DECODE):
             state.health.record_failure(self.ticker.now(), absent=True)
         for _ in range(20):
             plan = self.place()
             self.assertFalse(self.membership.is_own(plan.decode_engine))
             self.assertTrue(plan.decode_engine.is_usable())
 
-    def test_full_engines_are_no_reason_to_go_elsewhere(self):
-        # With too much work everywhere, cells that send each other what
-        # they can't serve make everybody late.
-        for state in self.own(domain.DECODE):
+    def test_full_cell_refuses_instead_of_using_other_cells(self):
+        # Guards against late answers in all cells: under overload, cells that
+        # send each other the excess only add to the queues.
+        for state in self.cell_engines(domain.DECODE):
             state.streams = state.endpoint.slots
         with self.assertRaises(errors.Overloaded):
             self.place()
 
-    def test_another_stage_clears_what_the_old_one_refused(self):
-        # An engine that is asked for what its stage doesn't do refuses.  It
-        # must be used as soon as its record tells the new stage.
-        state = self.own(domain.DECODE)[0]
+    def test_engine_is_usable_again_after_a_stage_change(self):
+        # Guards against leaving an engine unused after a change of its stage.
+        # It refused requests for the stage it did not have, and must be used
+        # as soon as its record shows the new one.
+        state = self.cell_engines(domain.DECODE)[0]
         state.health.record_failure(self.ticker.now(), absent=True)
         changed = state.endpoint._replace(stage=domain.PREFILL)
         self.assertTrue(self.endpoints.state(changed).is_usable())
 
-    def test_callers_are_not_sent_to_dead_engines_one_after_the_other(self):
+    def test_unreachable_engines_are_probed_once_per_interval(self):
+        # Guards against sending every caller to an unreachable engine when all
+        # decode engines are unreachable.
         for state in self.endpoints.of_service("model"):
             if state.endpoint.stage == domain.DECODE:
                 state.health.record_failure(self.ticker.now(), absent=True)
--- a/tests/gateway/test_retry_budget.py
+++ b/tests/gateway/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""The retry budget, alone and summed over gateways that come and go."""
+"""The retry budget of one gateway, and summed over restarting gateways."""
 
 import bisect
 import typing
@@ -16,13 +16,13 @@
 
 
 def in_window(times, start):
-    """Return how many of ``times`` lie in the window from ``start`` on."""
+    """Return how many of ``times`` lie in the window after ``start``."""
     end = bisect.bisect_left(times, start + WINDOW_MS)
     return end - bisect.bisect_left(times, start)
 
 
 def excess(requests, extras):
-    """Return by how much the worst window is over the deployment's bound."""
+    """Return by how many sends the worst window exceeds the bound."""
     worst = 0.0
     for start in set(extras):
         counted = max(
@@ -35,7 +35,7 @@
 
 
 class Step(typing.NamedTuple):
-    """What happens to one gateway after a pause of all."""
+    """An action of one gateway after ``gap_ms`` without any action."""
 
     gap_ms: int
     gateway: int
@@ -59,7 +59,7 @@
 
 
 class Fleet:
-    """Gateways that spend all that they may, whenever they are asked."""
+    """Gateways that spend as much of their budgets as a step asks."""
 
     def __init__(self, gateways):
         """Start them all for the first time."""
@@ -72,19 +72,19 @@
         self.extras = []
 
     def budget(self):
-        """Return the budget of a process that begins."""
+        """Return the budget of a new process."""
         return retry_budget.Budget(BOUNDS, self.clock.now)
 
     def share(self, number):
-        """Return what a gateway may spend of the fixed number."""
+        """Return what a gateway may spend of the slack."""
         age_ms = self.clock.now() - self.started_at[number]
         is_first = self.is_first[number]
         return retry_budget.slack_share(
             BOUNDS, self.gateways, age_ms, is_first
         )
 
-    def play(self, step):
-        """Let a step happen."""
+    def apply(self, step):
+        """Apply one step."""
         self.clock.advance(step.gap_ms)
         number = step.gateway % self.gateways
         if step.restarts:
@@ -100,37 +100,37 @@
                 self.extras.append(self.clock.now())
 
 
-class Sum(unittest.TestCase):
-    """All gateways together, against the deployment's own window."""
+class DeploymentBound(unittest.TestCase):
+    """Sends of all gateways stay within the deployment's bound."""
 
     @hypothesis.given(STEPS, strategies.sampled_from([1, 2, 7, 61]))
     @hypothesis.settings(derandomize=True, max_examples=150, deadline=None)
-    def test_no_demand_and_no_restart_takes_the_sum_over_the_bound(
+    def test_sum_stays_within_the_bound_under_any_load_and_restarts(
         self, steps, gateways
     ):
         fleet = Fleet(gateways)
         for step in steps:
-            fleet.play(step)
+            fleet.apply(step)
         self.assertLessEqual(excess(fleet.requests, fleet.extras), 0)
 
-    def test_restart_of_all_gateways_in_a_storm_of_failures(self):
+    def test_sum_stays_within_the_bound_when_all_restart_amid_failures(self):
         for gateways in (7, 61, 71, 350):
             with self.subTest(gateways=gateways):
                 fleet = Fleet(gateways)
                 for second in range(20):
                     for number in range(gateways):
                         step = Step(0, number, 18, 60, second == 15)
-                        fleet.play(step)
+                        fleet.apply(step)
                     fleet.clock.advance(1_000)
                 self.assertLessEqual(excess(fleet.requests, fleet.extras), 0)
 
-    def test_demand_that_ends_leaves_no_credit_for_the_next_window(self):
+    def test_credit_of_one_window_does_not_exceed_the_bound_of_the_next(self):
         fleet = Fleet(7)
         for number in range(7):
-            fleet.play(Step(0, number, 400, 0, False))
+            fleet.apply(Step(0, number, 400, 0, False))
         fleet.clock.advance(WINDOW_MS - 1)
         for number in range(7):
-            fleet.play(Step(0, number, 400, 200, False))
+            fleet.apply(Step(0, number, 400, 200, False))
         self.assertLessEqual(excess(fleet.requests, fleet.extras), 0)
 
 
@@ -138,28 +138,28 @@
     """The budget of one gateway."""
 
     def setUp(self):
-        """Start a process."""
+        """Create the budget of a new process."""
         self.budget = retry_budget.Budget(
             BOUNDS, clock.ManualClock(100_000).now
         )
 
-    def test_a_quiet_gateway_may_still_retry(self):
+    def test_gateway_without_requests_may_spend_its_share(self):
         self.assertTrue(
             self.budget.spend(retry_budget.slack_share(BOUNDS, 8, 0, True))
         )
 
-    def test_a_restarted_gateway_has_its_share_after_a_window(self):
+    def test_restarted_gateway_gets_its_share_after_a_window(self):
         early = retry_budget.slack_share(BOUNDS, 8, WINDOW_MS - 1, False)
         self.assertFalse(self.budget.spend(early))
         late = retry_budget.slack_share(BOUNDS, 8, WINDOW_MS, False)
         self.assertTrue(self.budget.spend(late))
 
-    def test_nothing_is_shared_among_gateways_that_are_not_known(self):
+    def test_share_is_zero_if_the_number_of_gateways_is_unknown(self):
         self.assertEqual(
             retry_budget.slack_share(BOUNDS, None, WINDOW_MS, True), 0
         )
 
-    def test_sends_that_reached_nobody_are_free(self):
+    def test_refunded_sends_can_be_spent_again(self):
         for _ in range(10):
             self.budget.count_request()
         self.assertTrue(self.budget.spend(0))
@@ -167,6 +167,6 @@
         self.budget.refund(1)
         self.assertTrue(self.budget.spend(0))
 
-    def test_giving_back_more_than_was_taken_earns_nothing(self):
+    def test_refund_of_more_than_was_spent_adds_no_credit(self):
         self.budget.refund(5)
         self.assertFalse(self.budget.spend(0))
--- a/tests/gateway/test_sse.py
+++ b/tests/gateway/test_sse.py
@@ -1,4 +1,4 @@
-"""Cutting streams into events, whatever the pieces."""
+"""Splitting a stream into events."""
 
 import unittest
 
@@ -14,14 +14,14 @@
 
 
 class Events(unittest.TestCase):
-    """``feed`` with the same bytes in different pieces."""
+    """The events that ``feed`` returns."""
 
     @hypothesis.given(
         strategies.integers(0, 8),
         strategies.lists(strategies.integers(0, 200)),
     )
     @hypothesis.settings(derandomize=True)
-    def test_any_cut_gives_the_same_events(self, count, cuts):
+    def test_events_do_not_depend_on_the_chunks(self, count, cuts):
         whole = b"".join(event(n) for n in range(1, count + 1))
         events = sse.Events(None)
         places = sorted({min(cut, len(whole)) for cut in cuts})
@@ -31,21 +31,21 @@
         ):
             seen += events.feed(whole[start:end])
         self.assertEqual(seen, whole)
-        self.assertTrue(events.is_whole)
+        self.assertTrue(events.is_complete)
 
     def test_repeated_events_are_dropped(self):
         events = sse.Events(3)
         fresh = events.feed(b"".join(event(n) for n in (2, 3, 4, 5)))
         self.assertEqual(fresh, event(4) + event(5))
 
-    def test_a_gap_is_an_error(self):
+    def test_missing_event_is_an_error(self):
         events = sse.Events(1)
         with self.assertRaises(sse.BadEvent):
             events.feed(event(3))
 
-    def test_half_an_event_is_not_whole(self):
+    def test_partial_event_is_incomplete_until_reset(self):
         events = sse.Events(None)
         self.assertEqual(events.feed(event(1)[:-1]), b"")
-        self.assertFalse(events.is_whole)
-        events.restart()
-        self.assertTrue(events.is_whole)
+        self.assertFalse(events.is_complete)
+        events.reset()
+        self.assertTrue(events.is_complete)
--- a/tests/integration/test_gateway_budget.py
+++ b/tests/integration/test_gateway_budget.py
@@ -14,12 +14,12 @@
 
 
 def fail(_endpoint, request):
-    """Answer with a failure after which a safe call may be sent again."""
+    """Answer with a failure after which a safe call is sent again."""
     yield scripted.answer(request, b"", 500)
 
 
-class Sum(gateway_base.GatewayCase):
-    """Three gateways whose endpoints fail all that they get."""
+class DeploymentBound(gateway_base.GatewayCase):
+    """Three gateways whose endpoints fail every request."""
 
     def setUp(self):
         """Start endpoints and gateways."""
@@ -44,13 +44,14 @@
             bringup.wait_until(lambda: self.is_ready(name), what=name)
 
     def ask_all(self):
-        """Send each gateway its requests, in turn."""
+        """Send requests to the gateways in turn."""
         for number in range(REQUESTS):
             for front in self.fronts:
                 self.ask(front, "/look/x", f"{front}-{number}", "GET")
 
     def test_restart_of_all_gateways_while_endpoints_fail(self):
-        # Guards against processes that each spend the whole fixed number.
+        # Guards against restarted processes that each spend the whole slack
+        # again, so that their sum exceeds the deployment's bound.
         start = time.monotonic()
         self.ask_all()
         for name in NAMES:
--- a/tests/integration/test_gateway_draining.py
+++ b/tests/integration/test_gateway_draining.py
@@ -1,4 +1,4 @@
-"""What a gateway that was asked to stop still takes, and how it ends it."""
+"""Which requests a draining gateway accepts, and how it ends them."""
 
 import signal
 import socket
@@ -19,22 +19,22 @@
 
 
 def by_size(_endpoint, request):
-    """Stream one event a token, up to the most that were asked for."""
+    """Stream one event per token, as many as the request allows."""
     count = int(request.header_by_name["token-usage"].split(",")[1])
     yield from long_answer(count, 0.004)(_endpoint, request)
 
 
-def reading_late(_endpoint, request):
-    """Read a prompt more slowly than is predicted."""
+def slow_prefill(_endpoint, request):
+    """Answer a prefill later than predicted."""
     yield 0.5
     yield scripted.answer(request, PREFILLED)
 
 
 class Draining(gateway_base.GatewayCase):
-    """One gateway of which three seconds are left."""
+    """One gateway that stops within three seconds."""
 
     def publish_streams(self):
-        """Publish a route whose streams may last."""
+        """Publish a route with a timeout longer than the drain."""
         self.publish(
             route("chat", "model", "stream", resumable=True, timeout_ms=20_000)
         )
@@ -57,7 +57,7 @@
         return asked.results[0][1]
 
     def check_long_one_is_refused(self, front, engine, usual):
-        """Ask for a long stream in a stop, after many of ``usual`` usage."""
+        """Check that a long stream is refused after many like ``usual``."""
         for number in range(25):
             self.stream(front, usual, f"s{number}")
         before = len(engine.requests)
@@ -67,13 +67,13 @@
         self.assertEqual(answer.status_code, 503)
         self.assertEqual(len(engine.requests), before)
 
-    def test_a_long_stream_is_not_begun_on_a_route_of_short_ones(self):
+    def test_drain_refuses_a_long_stream_on_a_route_of_short_ones(self):
         self.publish_streams()
         engine = self.engine("one", by_size)
         front = self.gateway()
         self.check_long_one_is_refused(front, engine, "100,3")
 
-    def test_refusals_by_an_engine_teach_no_durations(self):
+    def test_refusals_by_an_engine_do_not_count_as_durations(self):
         self.publish_streams()
 
         def script(endpoint, request):
@@ -86,7 +86,7 @@
         front = self.gateway()
         self.check_long_one_is_refused(front, engine, "100,400")
 
-    def test_a_stream_of_unknown_length_is_not_begun(self):
+    def test_drain_refuses_a_stream_of_unknown_length(self):
         self.publish_streams()
         engine = self.engine("one", long_answer(400, 0.004))
         front = self.gateway()
@@ -96,8 +96,9 @@
         self.assertEqual(answer.status_code, 503)
         self.assertEqual(engine.requests, [])
 
-    def test_a_refused_stream_is_not_sent_on_if_it_would_outlast_a_stop(self):
-        # The first engine refused it, so "not run" is still true.
+    def test_refused_stream_is_not_retried_beyond_the_drain(self):
+        # Guards against a retry that the end of the process would cut off.
+        # The first engine refused the request, so it has not run.
         self.publish_streams()
         arrivals = []
 
@@ -118,46 +119,47 @@
         self.assertEqual(answer.status_code, 503)
         self.assertEqual(len(arrivals), 1)
 
-    def test_a_prompt_that_is_still_read_at_the_end_is_told_not_run(self):
-        # Callers send an unsafe request again only after a promise.
+    def test_prefill_cut_by_the_end_of_the_drain_is_answered_as_not_run(self):
+        # Guards against a lost request: callers send an unsafe request again
+        # only if the answer says that it has not run.
         self.publish(route("once", "model", "stream", timeout_ms=20_000))
 
-        def reader(_endpoint, request):
+        def prefill_script(_endpoint, request):
             if not request.header_by_name["attempt-id"].startswith("s"):
                 yield 3
             yield scripted.answer(request, PREFILLED)
 
-        self.engine("one", reader, "prefill")
-        decoder = self.engine("two", long_answer(1, 0.01))
+        self.engine("one", prefill_script, "prefill")
+        decode_engine = self.engine("two", long_answer(1, 0.01))
         front = self.gateway()
         headers = {**MODEL_HEADERS, "Token_Usage": "30000,1"}
         for number in range(25):
             self.ask(front, "/once/x", f"s{number}", **headers)
-        before = len(decoder.requests)
+        before = len(decode_engine.requests)
         self.terminate()
         time.sleep(1.6)
         answer = self.ask(front, "/once/x", **headers)
-        self.assertEqual(len(decoder.requests), before)
+        self.assertEqual(len(decode_engine.requests), before)
         self.assertEqual(answer.status_code, 503)
 
-    def test_a_prompt_read_at_a_stop_starts_no_stream_that_outlasts_it(self):
+    def test_prefill_during_a_drain_starts_no_stream_that_outlasts_it(self):
         self.publish_streams()
-        reader = self.engine("one", reading_late, "prefill")
-        decoder = self.engine("two", by_size)
+        prefill_engine = self.engine("one", slow_prefill, "prefill")
+        decode_engine = self.engine("two", by_size)
         front = self.gateway()
         asked = base.Background(self.stream, [(front, "30000,900")])
         time.sleep(0.2)
         self.terminate()
         answer = self.only_answer(asked)
         self.assertEqual(answer.status_code, 503)
-        self.assertEqual(decoder.requests, [])
+        self.assertEqual(decode_engine.requests, [])
         bringup.wait_until(
-            lambda: any(r.method == "DELETE" for r in reader.requests),
-            what="the handle's end",
+            lambda: any(r.method == "DELETE" for r in prefill_engine.requests),
+            what="the release of the handle",
         )
 
-    def check_call_outlasts(self, number):
-        """Send a signal during a stop; the call that is open is answered."""
+    def check_call_survives_signal(self, number):
+        """Check that a signal during a drain does not cut an open call."""
         self.publish(route("book", "app", "unsafe"))
         self.endpoint("one", slow(1.0))
         front = self.gateway()
@@ -170,14 +172,14 @@
         self.assertEqual(answer.content, b"done")
         self.assertEqual(self.dep.wait_end("gateway-1", 4), 0)
 
-    def test_new_settings_do_not_end_a_stop_early(self):
+    def test_sighup_does_not_end_a_drain_early(self):
         # The platform sends SIGHUP when it has written new settings.
-        self.check_call_outlasts(signal.SIGHUP)
+        self.check_call_survives_signal(signal.SIGHUP)
 
-    def test_a_second_stop_does_not_end_the_first_early(self):
-        self.check_call_outlasts(signal.SIGTERM)
+    def test_second_sigterm_does_not_end_a_drain_early(self):
+        self.check_call_survives_signal(signal.SIGTERM)
 
-    def test_a_body_on_its_way_is_waited_for_in_a_stop(self):
+    def test_drain_waits_for_a_request_body_in_transit(self):
         self.publish(route("book", "app", "unsafe", goal_ms=100))
         self.endpoint("one", slow(0))
         front = self.gateway()
@@ -192,8 +194,9 @@
             caller.sendall(b"half")
             self.assertIn(b" 200 ", caller.recv(65_536))
 
-    def test_a_stopping_gateway_gives_no_orders(self):
-        # Its lease would outlive it and keep the others from ordering.
+    def test_draining_gateway_sends_no_orders(self):
+        # Guards against a lease that outlives its gateway and keeps the others
+        # from sending orders.
         self.publish_streams()
 
         def script(_endpoint, request):
@@ -209,7 +212,7 @@
         targets = [r.target for e in engines for r in e.requests]
         self.assertEqual(targets, [])
 
-    def test_a_silent_endpoint_leaves_time_for_another_one_in_a_stop(self):
+    def test_unresponsive_endpoint_leaves_time_for_another_in_a_drain(self):
         self.publish(route("look", "app", "safe", timeout_ms=6_000))
         arrivals = []
 
@@ -227,7 +230,7 @@
         answer = self.ask(front, "/look/x")
         self.assertEqual(answer.status_code, 200)
 
-    def test_an_engine_gets_no_more_time_than_a_stopping_gateway_has(self):
+    def test_deadline_sent_to_an_endpoint_ends_with_the_drain(self):
         self.publish(route("look", "app", "safe", timeout_ms=6_000))
         engine = self.endpoint("one", slow(0))
         front = self.gateway()
--- a/tests/integration/test_gateway_streams.py
+++ b/tests/integration/test_gateway_streams.py
@@ -1,4 +1,4 @@
-"""Streams of model engines through a gateway, and what breaks them."""
+"""Streams of model engines through a gateway, with engine failures."""
 
 import time
 
@@ -20,7 +20,7 @@
 
 
 def whole_stream(request, numbers, end=True):
-    """Yield a stream with these events."""
+    """Yield a stream of the events ``numbers``, with its end if ``end``."""
     yield scripted.stream_head(request)
     for number in numbers:
         yield scripted.chunk(scripted.event(number))
@@ -28,8 +28,8 @@
         yield scripted.chunk(b"")
 
 
-def go_on(_endpoint, request):
-    """Stream what follows the event that the request names, up to five."""
+def resume_stream(_endpoint, request):
+    """Stream the events after the request's Last-Event-ID, up to five."""
     last = int(request.header_by_name.get("last-event-id", 0))
     yield from whole_stream(request, range(last + 1, 6))
 
@@ -44,7 +44,7 @@
     """One decode engine or two, with and without a prefill engine."""
 
     def setUp(self):
-        """Publish a route that may be resumed and one that may not."""
+        """Publish a resumable route and one that is not resumable."""
         super().setUp()
         self.publish(
             route("chat", "model", "stream", resumable=True),
@@ -66,9 +66,9 @@
         seen = engine.requests[0].header_by_name
         self.assertEqual(seen["prompt-prefix"], "aa:40,bb:40,cc:20")
 
-    def test_broken_stream_goes_on_elsewhere(self):
-        # An engine crashes in the middle of an event.  The caller sees each
-        # event once and in order, from two engines.
+    def test_broken_stream_is_resumed_by_another_engine(self):
+        # Guards against lost, repeated or partial events when an engine
+        # crashes in the middle of an event and another one resumes.
         def crash(_endpoint, request):
             yield from whole_stream(request, (1, 2), end=False)
             yield scripted.chunk(scripted.event(3)[:5])
@@ -77,10 +77,10 @@
 
         self.check_resumed(crash, MODEL_HEADERS)
 
-    def test_broken_stream_goes_on_although_its_target_has_passed(self):
-        # The engine breaks off long after the first event was due.  Judged
-        # like a new request, the rest would come too late and be refused,
-        # and the caller be left with half an answer.
+    def test_broken_stream_is_resumed_after_its_target_has_passed(self):
+        # Guards against refusing the rest of a stream that breaks after the
+        # target for its first event has passed.  A new request would be
+        # refused as late; here the caller would get a truncated answer.
         def crash(_endpoint, request):
             yield from whole_stream(request, (1, 2), end=False)
             yield 0.6
@@ -89,18 +89,18 @@
         self.check_resumed(crash, dict(MODEL_HEADERS, Token_Usage="8000,20"))
 
     def check_resumed(self, crash, headers):
-        """Check that callers of a crashing engine get their whole answers."""
+        """Check that callers of a crashing engine get complete answers."""
         crashing = self.engine("one", crash)
         front = self.gateway()
-        second = self.engine("two", go_on)
+        second = self.engine("two", resume_stream)
         bringup.wait_until(
             lambda: self.both_seen(front, crashing, second), what="both"
         )
         before = len(crashing.requests)
 
         def asked_again():
-            # An engine that broke off twice rests for some seconds, so it
-            # may take a while until it gets a request again.
+            # An engine that broke off twice gets no requests for some
+            # seconds, so this may take several tries.
             answer = self.ask(front, "/chat/x", "again", **headers)
             self.assertEqual(positions(answer.content), [1, 2, 3, 4, 5])
             return len(crashing.requests) > before
@@ -108,23 +108,22 @@
         bringup.wait_until(asked_again, 30, "a request at the crashing one")
 
     def both_seen(self, front, first, second):
-        """Ask until each of two engines got a request."""
+        """Send a request; tell whether each of two engines got one so far."""
         try:
             self.ask(front, "/chat/x", "warm", **MODEL_HEADERS)
         except httpx.HTTPError:
             return False
         return first.requests and second.requests
 
-    def test_engines_that_are_gone_cost_no_attempt(self):
-        # Engines crash, and their records stay in the store for some
-        # seconds.  Nothing listens where they were.  The route allows one
-        # engine a request; if that were used up by a connection that was
-        # refused, callers would get failures while sound engines are idle.
+    def test_refused_connections_cost_no_attempt(self):
+        # Guards against failures while healthy engines are idle.  Records of
+        # crashed engines stay in the store for some seconds.  On a route with
+        # one attempt, a refused connection must not use it up.
         self.publish(route("single", "model", "stream", max_attempts=1))
         for name in ("a", "b", "c"):
-            gone = f"127.0.0.1:{bringup.free_port()}"
-            self.register(name, gone, "model", stage="decode")
-        self.engine("z", go_on)
+            unused = f"127.0.0.1:{bringup.free_port()}"
+            self.register(name, unused, "model", stage="decode")
+        self.engine("z", resume_stream)
         front = self.gateway()
         for number in range(4):
             answer = self.ask(
@@ -134,8 +133,8 @@
             self.assertEqual(positions(answer.content), [1, 2, 3, 4, 5])
 
     def test_stream_that_may_not_be_resumed_is_cut(self):
-        # Started again, such a request would run twice.  The caller sees
-        # that its answer is not whole.
+        # Guards against running such a request twice when its engine crashes.
+        # The caller sees that its answer is truncated.
         def crash(_endpoint, request):
             yield from whole_stream(request, (1, 2), end=False)
             yield 0.05
@@ -147,7 +146,7 @@
             self.ask(front, "/once/x", **MODEL_HEADERS)
         self.assertEqual(sum(len(e.requests) for e in engines), 1)
 
-    def test_missing_event_is_not_passed_over(self):
+    def test_missing_event_fails_the_stream(self):
         def script(_endpoint, request):
             yield from whole_stream(request, (1, 2, 4))
 
@@ -156,16 +155,16 @@
         with self.assertRaises(httpx.RemoteProtocolError):
             self.ask(front, "/once/x", **MODEL_HEADERS)
 
-    def test_prompt_is_read_apart_and_fetched(self):
-        def reader(_endpoint, request):
+    def test_prefill_on_its_own_engine_is_fetched_for_decode(self):
+        def prefill_script(_endpoint, request):
             body = b'{"cache_handle": "h1", "token_count": 9, "version": 1}'
             yield scripted.answer(request, body)
 
-        def decoder(_endpoint, request):
+        def decode_script(_endpoint, request):
             yield from whole_stream(request, (1, 2))
 
-        first = self.engine("one", reader, "prefill")
-        second = self.engine("two", decoder)
+        first = self.engine("one", prefill_script, "prefill")
+        second = self.engine("two", decode_script)
         front = self.gateway()
         usage = dict(MODEL_HEADERS, Token_Usage="30000,20")
         answer = self.ask(front, "/chat/x", **usage)
@@ -175,17 +174,17 @@
         seen = second.requests[0].header_by_name
         self.assertEqual(seen["kv-source"], f"{first.address}/h1")
 
-    def test_handle_is_freed_when_nobody_takes_it(self):
-        # The decode engine refuses; the memory of the prompt would stay
-        # with the engine that read it, for nobody.
-        def reader(_endpoint, request):
+    def test_prefill_handle_is_freed_if_decode_is_refused(self):
+        # Guards against leaked memory on a prefill engine when the decode
+        # engine refuses the request and so never fetches the prompt.
+        def prefill_script(_endpoint, request):
             body = b'{"cache_handle": "h1", "token_count": 9, "version": 1}'
             yield scripted.answer(request, body)
 
         def full(_endpoint, request):
             yield scripted.answer(request, b"", 503, Not_Executed="1")
 
-        first = self.engine("one", reader, "prefill")
+        first = self.engine("one", prefill_script, "prefill")
         self.engine("two", full)
         front = self.gateway()
         usage = dict(MODEL_HEADERS, Token_Usage="30000,20")
@@ -193,21 +192,21 @@
         self.assertEqual(answer.status_code, 503)
         bringup.wait_until(
             lambda: any(r.method == "DELETE" for r in first.requests),
-            what="the handle's end",
+            what="the release of the handle",
         )
 
-    def test_engine_that_leaves_while_the_prompt_is_read_gets_nothing(self):
-        # An engine begins to drain between the choice of it and the end of
-        # the prompt's reading elsewhere.  New work would keep it from
-        # leaving, or be cut off when it goes.
-        def reader(_endpoint, request):
+    def test_engine_that_drains_during_the_prefill_gets_no_request(self):
+        # Guards against new work on a decode engine that starts draining
+        # after it was chosen, while the prefill runs on another engine.  The
+        # work would delay its stop or be cut off by it.
+        def prefill_script(_endpoint, request):
             yield 1.2
             body = b'{"cache_handle": "h1", "token_count": 9, "version": 1}'
             yield scripted.answer(request, body)
 
-        self.engine("one", reader, "prefill")
-        leaving = self.engine("three", go_on)
-        staying = self.engine("two", go_on)
+        self.engine("one", prefill_script, "prefill")
+        draining = self.engine("three", resume_stream)
+        staying = self.engine("two", resume_stream)
         front = self.gateway()
         usage = dict(MODEL_HEADERS, Token_Usage="30000,20")
         asked = base.Background(
@@ -215,28 +214,33 @@
         )
         time.sleep(0.3)
         self.register(
-            "three", leaving.address, "model", stage="decode", state="draining"
+            "three",
+            draining.address,
+            "model",
+            stage="decode",
+            state="draining",
         )
         ((_, answer),) = asked.join()
         self.assertEqual(positions(answer.content), [1, 2, 3, 4, 5])
-        self.assertEqual(leaving.requests, [])
+        self.assertEqual(draining.requests, [])
         self.assertEqual(len(staying.requests), 1)
 
-    def test_slow_reading_is_waited_for_if_it_may_not_be_done_elsewhere(self):
-        # Guards against giving up a prompt that no other engine may read.
-        def reader(_endpoint, request):
+    def test_slow_prefill_has_no_timeout_without_retry_budget(self):
+        # Guards against giving up a slow prefill that the retry budget does
+        # not allow to repeat on another engine.
+        def prefill_script(_endpoint, request):
             yield 1.6
             body = b'{"cache_handle": "h1", "token_count": 9, "version": 1}'
             yield scripted.answer(request, body)
 
-        self.engine("one", reader, "prefill")
-        self.engine("two", go_on)
+        self.engine("one", prefill_script, "prefill")
+        self.engine("two", resume_stream)
         front = self.gateway(budget_ratio=0, budget_slack=0)
         usage = dict(MODEL_HEADERS, Token_Usage="30000,20")
         answer = self.ask(front, "/chat/x", **usage)
         self.assertEqual(positions(answer.content), [1, 2, 3, 4, 5])
 
-    def test_caller_that_leaves_ends_the_stream(self):
+    def test_disconnected_caller_cancels_the_stream(self):
         def script(_endpoint, request):
             yield from whole_stream(request, (1,), end=False)
             yield 5
@@ -254,23 +258,24 @@
             trust_env=False,
         ) as answer:
             next(answer.iter_raw())
-        left = time.monotonic()
+        disconnected_at = time.monotonic()
         bringup.wait_until(
-            lambda: engine.closed_by_peer, seconds=2, what="the end"
+            lambda: engine.closed_by_peer,
+            seconds=2,
+            what="the end of the stream",
         )
-        self.assertLess(time.monotonic() - left, 0.5)
+        self.assertLess(time.monotonic() - disconnected_at, 0.5)
 
 
 class RetryBudget(gateway_base.GatewayCase):
-    """Further sends stay within the budget, prompts that are read too."""
-
-    def test_reading_a_prompt_again_draws_on_the_budget(self):
-        # Decode engines refuse, as they do right after they were replaced.
-        # Each retry has the prompt read again, so it reaches two engines.
-        # Counted as one, the retries of a bad minute went over what the
-        # engines' operators allow, just when the engines had the least to
-        # spare.
-        def reader(_endpoint, request):
+    """Further sends, prefills included, stay within the budget."""
+
+    def test_repeated_prefill_draws_on_the_budget(self):
+        # Guards against retries over the deployment's bound.  Decode engines
+        # refuse, as they do right after they were replaced.  Each retry
+        # repeats the prefill, so it reaches two engines; counted as one send,
+        # retries exceeded the bound while the engines were overloaded.
+        def prefill_script(_endpoint, request):
             body = b'{"cache_handle": "h1", "token_count": 9, "version": 1}'
             yield scripted.answer(request, body)
 
@@ -279,7 +284,7 @@
 
         self.publish(route("chat", "model", "stream", resumable=True))
         engines = [
-            self.endpoint("one", reader, "model", stage="prefill"),
+            self.endpoint("one", prefill_script, "model", stage="prefill"),
             self.endpoint("two", full, "model", stage="decode"),
             self.endpoint("three", full, "model", stage="decode"),
         ]
--- a/tests/integration/test_gateway_verdicts.py
+++ b/tests/integration/test_gateway_verdicts.py
@@ -1,4 +1,4 @@
-"""What a gateway answers when endpoints fail in the middle of a call."""
+"""Answers of a gateway when endpoints fail in the middle of a call."""
 
 import time
 
@@ -13,7 +13,7 @@
     """Calls to a plain service."""
 
     def setUp(self):
-        """Publish a route for each kind of call."""
+        """Publish a route for unsafe and one for safe calls."""
         super().setUp()
         self.publish(
             route("book", "app", "unsafe", max_attempts=1),
@@ -43,9 +43,9 @@
         self.assertLessEqual(int(seen.header_by_name["deadline-ms"]), 2_000)
 
     def test_unsafe_call_is_not_sent_again_after_a_reset(self):
-        # The endpoint books the order and crashes before it answers.  Sent
-        # to another endpoint the order would be booked twice; answered with
-        # 503 the caller would send it again.  The caller gets 502.
+        # Guards against a booking made twice.  The endpoint books and crashes
+        # before it answers.  Another endpoint would book again, and after a
+        # 503 the caller would send again, so it gets 502.
         def script(_endpoint, _request):
             yield scripted.RESET
 
@@ -69,9 +69,9 @@
             answer = self.ask(front, "/look/x", f"a{number}", "GET")
             self.assertEqual(answer.status_code, 200)
 
-    def test_refusal_by_the_endpoint_stays_a_true_one(self):
-        # A full endpoint says that it did not run the booking.  The caller
-        # may come back, so it gets 503 and when.
+    def test_refusal_by_the_endpoint_becomes_a_503_with_retry_after(self):
+        # Guards against a lost refusal: a full endpoint states that it did
+        # not run the booking, so the caller may send it again later.
         def script(_endpoint, request):
             yield scripted.answer(request, b"", 503, Not_Executed="1")
 
@@ -81,9 +81,10 @@
         self.assertEqual(answer.status_code, 503)
         self.assertLessEqual(float(answer.headers["retry-after"]), 1 / 3)
 
-    def test_plain_503_is_no_promise(self):
-        # Only the endpoint's own mark says that a call has not run.  Its
-        # other failures go on as they are, with its stamp.
+    def test_failure_without_not_executed_header_is_forwarded(self):
+        # Guards against reporting a failed call as not run.  Only the
+        # endpoint's Not-Executed header says so; its other failures are
+        # forwarded unchanged, with its stamp.
         def script(_endpoint, request):
             yield scripted.answer(request, b"broken", 500)
 
@@ -96,9 +97,9 @@
         self.assertEqual(answer.headers["server-stamp"], "stamp")
 
     def test_late_answer_to_another_call_is_dropped(self):
-        # An endpoint sends a second answer to an earlier request where the
-        # answer to the next one is due.  Handed on, one office would read
-        # the order of another.
+        # Guards against giving one customer the order of another.  An endpoint
+        # sends a second answer to an earlier request where the answer to the
+        # next one is expected.
         def script(endpoint, request):
             if len(endpoint.requests) == 1:
                 yield scripted.answer(request, b"first")
@@ -113,7 +114,7 @@
         self.assertEqual(self.ask(front, "/book/x", "a1").content, b"first")
         self.assertEqual(self.ask(front, "/book/x", "a2").content, b"second")
 
-    def test_bytes_after_an_answer_belong_to_nobody(self):
+    def test_bytes_after_an_answer_are_dropped(self):
         def script(_endpoint, request):
             yield scripted.answer(request, b"whole") + b"rubbish"
 
@@ -124,7 +125,7 @@
             self.assertEqual(answer.content, b"whole")
         self.assertEqual(endpoint.connections, 3)
 
-    def test_truncated_answer_is_not_handed_on(self):
+    def test_truncated_answer_is_not_forwarded(self):
         def script(_endpoint, request):
             yield scripted.answer(request, b"half of the body")[:-4]
             yield scripted.CLOSE
@@ -133,7 +134,7 @@
         front = self.gateway()
         self.assertEqual(self.ask(front, "/book/x").status_code, 502)
 
-    def test_success_without_stamp_is_not_handed_on(self):
+    def test_success_without_stamp_is_not_forwarded(self):
         def script(_endpoint, request):
             whole = scripted.answer(request, b"forged")
             yield whole.replace(b"Server-Stamp: stamp\r\n", b"")
@@ -155,9 +156,9 @@
             (answer.status_code, answer.content), (200, b"no length")
         )
 
-    def test_no_answer_by_the_timeout_of_the_route(self):
-        # The endpoint never answers.  The route allows 3 s; the caller
-        # learns then that nothing is known, not half a minute later.
+    def test_call_without_answer_fails_at_the_route_timeout(self):
+        # Guards against calls that wait for the default timeout of 30 s: the
+        # endpoint never answers, and the route's timeout is shorter.
         def script(_endpoint, _request):
             yield 30
 
@@ -169,7 +170,7 @@
         self.assertEqual(answer.status_code, 504)
         self.assertLess(time.monotonic() - start, 1.0)
 
-    def test_each_timeout_of_the_route_is_told_as_one(self):
+    def test_concurrent_route_timeouts_all_answer_504(self):
         def script(_endpoint, _request):
             yield 30
 
@@ -186,9 +187,9 @@
             statuses = {status for _, status in asked.join()}
             self.assertEqual(statuses, {504})
 
-    def test_headers_of_the_system_are_not_taken_from_callers(self):
-        # A caller that sets them would continue from the memory of somebody
-        # else's prompt or jump the queue.
+    def test_internal_headers_of_callers_are_dropped(self):
+        # Guards against callers that set internal headers to read the cached
+        # prompt of another caller or to raise their priority.
         def script(_endpoint, request):
             yield scripted.answer(request)
 
@@ -210,7 +211,7 @@
         self.assertEqual(seen["expect-instance"], "one")
         self.assertLessEqual(int(seen["deadline-ms"]), 3_000)
 
-    def test_unknown_path_and_bad_bytes(self):
+    def test_unknown_path_and_malformed_requests(self):
         def script(_endpoint, request):
             yield scripted.answer(request)
 
@@ -228,9 +229,9 @@
                 self.assertIn(b"connection: close", answer.lower())
         self.assertEqual(self.ask(front, "/book/x").status_code, 200)
 
-    def test_caller_that_leaves_ends_the_work(self):
-        # A caller closes its connection; work that nobody waits for keeps
-        # an engine from the others.
+    def test_disconnected_caller_cancels_the_call(self):
+        # Guards against work for a caller that closed its connection: it
+        # keeps the endpoint from serving others.
         def script(_endpoint, _request):
             yield 5
 
@@ -243,8 +244,10 @@
                 timeout=0.5,
                 trust_env=False,
             )
-        left = time.monotonic()
+        disconnected_at = time.monotonic()
         gateway_base.bringup.wait_until(
-            lambda: endpoint.closed_by_peer, seconds=2, what="the end"
+            lambda: endpoint.closed_by_peer,
+            seconds=2,
+            what="the end of the call",
         )
-        self.assertLess(time.monotonic() - left, 0.5)
+        self.assertLess(time.monotonic() - disconnected_at, 0.5)
