--- a/clementinewall/steward/__init__.py
+++ b/clementinewall/steward/__init__.py
@@ -1,1 +1,1 @@
-"""The program that brings the fleet to what operators published."""
+"""The steward: applies the published configuration to the endpoints."""
--- a/clementinewall/steward/lease_manager.py
+++ b/clementinewall/steward/lease_manager.py
@@ -14,55 +14,58 @@
 _log = logs.PartLog("lease")
 
 ID_BYTES = 8
-TICK_MS = 200
-FAILURE_PAUSE_MS = 500
-READ_BACK_MS = 3_000
+POLL_INTERVAL_MS = 200
+FAILURE_BACKOFF_MS = 500
+READ_BACK_TIMEOUT_MS = 3_000
 
 
 class LeaseManager:
-    """Holds the scopes that this process wants, as far as others let it."""
+    """Claims and renews the leases on the scopes set by ``set_scopes``."""
 
     def __init__(self, node):
         """Use the node's log and state."""
         self._node = node
         self._leases = node.settings.leases
         self.table = leases.LeaseTable(self._leases, node.boot, node.clock.now)
-        self._patience_by_scope = {}
-        self._failure = None
-        self._renew_at = 0
+        self._claim_delay_by_scope = {}
+        self._last_failure = None
+        self._next_renewal_at = 0
 
-    def want(self, patience_by_scope):
-        """Set which scopes to hold, with the patience before a claim."""
-        self._patience_by_scope = dict(patience_by_scope)
+    def set_scopes(self, claim_delay_by_scope):
+        """Set the scopes to hold, each with its claim delay in ms."""
+        self._claim_delay_by_scope = dict(claim_delay_by_scope)
 
     def holds(self, scope):
-        """Tell whether an order in the scope may be sent now."""
+        """Tell whether the lease is long enough to send an order now."""
         return self.table.may_order(scope)
 
     async def run(self):
-        """Claim and renew for ever."""
+        """Claim, renew and release scopes until cancelled."""
         while True:
             self.table.observe(self._node.tail.state)
             try:
                 await self._renew()
-                await self._give_back()
+                await self._release_unwanted()
                 await self._claim()
-                self._failure = None
+                self._last_failure = None
             except errors.ClementinewallError as exc:
-                await self._after_failure(exc)
-            await self._node.tail.wait_change(TICK_MS)
+                await self._back_off(exc)
+            await self._node.tail.wait_change(POLL_INTERVAL_MS)
             self.table.observe(self._node.tail.state)
 
-    async def _after_failure(self, exc):
-        """Say a failure once, and spare a log that is in trouble."""
-        if exc.message != self._failure:
-            _log.warning("the log did not answer", error=exc.message)
-        self._failure = exc.message
-        await anyio.sleep(clock.seconds(FAILURE_PAUSE_MS))
+    async def _back_off(self, exc):
+        """Log a repeated failure once, and wait before the next attempt."""
+        if exc.message != self._last_failure:
+            _log.warning(
+                "lease records could not be committed; retrying",
+                error=exc.message,
+            )
+        self._last_failure = exc.message
+        await anyio.sleep(clock.seconds(FAILURE_BACKOFF_MS))
 
     async def release_all(self):
-        """Give up every scope, so that others need not wait."""
-        self._patience_by_scope = {}
+        """Release every scope, so that others need not wait for expiry."""
+        self._claim_delay_by_scope = {}
         claims = self._own_claims()
         if not claims:
             return
@@ -70,7 +73,9 @@
         try:
             await self._node.log.append(control.STREAM, record)
         except errors.ClementinewallError as exc:
-            _log.warning("the release was not sent", error=exc.message)
+            _log.warning(
+                "leases not released; they will expire", error=exc.message
+            )
 
     def _own_claims(self):
         return {
@@ -80,25 +85,25 @@
     async def _renew(self):
         claims = self._own_claims()
         now = self._node.clock.now()
-        if not claims or now < self._renew_at:
+        if not claims or now < self._next_renewal_at:
             return
         own = self._node
         record = control.Renewal(_new_id(), own.id, own.boot, claims)
         await self._commit(record)
-        self._renew_at = now + self._leases.renew_ms
+        self._next_renewal_at = now + self._leases.renew_ms
 
-    async def _give_back(self):
+    async def _release_unwanted(self):
         claims = {
             scope: fence
             for scope, fence in self._own_claims().items()
-            if scope not in self._patience_by_scope
+            if scope not in self._claim_delay_by_scope
         }
         if claims:
             await self._commit(control.Release(_new_id(), claims))
 
     async def _claim(self):
-        for scope, patience in list(self._patience_by_scope.items()):
-            expected = self.table.challenge(scope, patience)
+        for scope, delay_ms in list(self._claim_delay_by_scope.items()):
+            expected = self.table.challenge(scope, delay_ms)
             if expected is None:
                 continue
             own = self._node
@@ -114,22 +119,30 @@
             if outcome.valid:
                 _log.info("claimed", scope=scope, fence=outcome.offset)
             else:
-                _log.info("lost a claim", scope=scope, why=outcome.reason)
-                spread = random.uniform(0, TICK_MS)
-                await anyio.sleep(clock.seconds(spread))
+                _log.info(
+                    "claim rejected by the log",
+                    scope=scope,
+                    why=outcome.reason,
+                )
+                jitter_ms = random.uniform(0, POLL_INTERVAL_MS)
+                await anyio.sleep(clock.seconds(jitter_ms))
 
     async def _commit(self, record):
         """Append the record and return its outcome as read back.
 
-        An append whose answer was lost is not repeated: the record is read
-        back if it took effect, and otherwise the next round makes a new one.
+        An append whose answer was lost is not repeated: if it took effect, the
+        record is read back; otherwise the next pass appends a new one.
+
+        :raises AppendUnknown: the record was not read back in time.
         """
-        self.table.sending(record.id)
+        self.table.record_sent(record.id)
         try:
             await self._node.log.append(control.STREAM, record)
         except errors.AppendUnknown:
-            _log.debug("an append got no answer", id=record.id)
-        outcome = await self._node.tail.wait_outcome(record.id, READ_BACK_MS)
+            _log.debug("append not answered; reading it back", id=record.id)
+        outcome = await self._node.tail.wait_outcome(
+            record.id, READ_BACK_TIMEOUT_MS
+        )
         self.table.observe(self._node.tail.state)
         return outcome
 
--- a/clementinewall/steward/main.py
+++ b/clementinewall/steward/main.py
@@ -1,4 +1,4 @@
-"""Bring the fleet to what operators published.
+"""Apply the published configuration to the endpoints.
 
 Usage:
   clementinewall-steward --settings=FILE [--check]
@@ -23,7 +23,8 @@
     """Catch signals, read the command line, load the program and run it."""
     inbox = signals.catch()
     options = docopt.docopt(__doc__)
-    # Imported only now: a signal that came meanwhile would kill the process.
+    # Imported only after signals are caught: the import takes long enough
+    # that a signal during it would otherwise kill the process.
     program = importlib.import_module("clementinewall.steward.program")
     program.main(options, inbox)
 
--- a/clementinewall/steward/orders.py
+++ b/clementinewall/steward/orders.py
@@ -1,12 +1,12 @@
-"""Sending orders to endpoints so that lapsed authority has no effect.
-
-Endpoints that check fencing tokens get the order directly: whatever is late
-carries an old token and is refused.  Endpoints that ignore tokens can't
-protect themselves, so their orders pass a second steward, which checks the
-claim for itself before it writes.  A holder that was paused after its own
-check finds its order refused there.  What remains: holder and second steward
-both paused, the latter between its check and its write, until a third
-process has taken the scope over.
+"""Orders to endpoints, sent so that an expired lease has no effect.
+
+Endpoints that check fencing tokens get the order directly: a late order
+carries an old token and is refused.  Endpoints that ignore tokens cannot
+protect themselves, so their orders go through a second steward, the
+checker, which verifies the claim itself before it writes.  The order of a
+holder that was paused after its own check is refused there.  One race
+remains: holder and checker are both paused, the checker between its check
+and its write, until a third process has taken over the scope.
 """
 
 import time
@@ -29,10 +29,10 @@
 _log = logs.PartLog("order")
 
 PATH = "/control/order"
-# After the second steward gave no answer, its write may still come.  No
-# other order goes to that endpoint until it answers or is gone this long.
-IN_DOUBT_MS = 60_000
-SECOND_TIMEOUT_FACTOR = 2
+# A checker that gave no answer may still write its order.  The endpoint gets
+# no other order until the checker has restarted or this time has passed.
+UNANSWERED_HOLD_MS = 60_000
+CHECKER_TIMEOUT_FACTOR = 2
 
 
 class Order(typing.NamedTuple):
@@ -47,17 +47,17 @@
     value: str = ""
 
 
-class _Doubt(typing.NamedTuple):
-    second: str
+class _UnansweredOrder(typing.NamedTuple):
+    checker: str
     boot: str
     since: int
 
 
 class OrderSender:
-    """Owns the connections for orders; one per steward."""
+    """Sends orders and checks those of other stewards."""
 
     def __init__(self, node, lease_manager):
-        """Use the node's members and the leases of the lease manager."""
+        """Use the node's members and leases; one sender per steward."""
         self._node = node
         self._lease_manager = lease_manager
         leases = node.settings.leases
@@ -65,30 +65,32 @@
         self._http = _http.client(
             leases.order_timeout_ms, keeps_connections=False
         )
-        self._doubt_by_endpoint = {}
+        self._unanswered_by_endpoint = {}
 
     def routes(self):
-        """Return the route by which other stewards ask for the check."""
+        """Return the route on which other stewards submit their orders."""
         return [routing.Route(PATH, self._on_order, methods=["POST"])]
 
     async def send(self, scope, endpoint_id, kind, value=""):
-        """Send an order under the own lease.
+        """Send an order under this process's lease.
 
         :raises LeaseLost: nothing was sent.
-        :raises OrderRefused: the endpoint or the second check refused it.
-        :raises EndpointFailed: with the verdict for where it broke.
+        :raises OrderRefused: the endpoint or the checker refused it.
+        :raises EndpointFailed: with a verdict on whether it may have run.
         """
         endpoint = self._node.view.endpoints_by_id[endpoint_id]
         if not self._lease_manager.holds(scope):
-            raise errors.LeaseLost(f"the lease on {scope} runs out")
+            raise errors.LeaseLost(
+                f"the lease on {scope} is too short for an order; none sent"
+            )
         fence = self._lease_manager.table.fence(scope)
         order = Order(endpoint_id, scope, fence, kind, value)
-        self._check_doubt(endpoint_id)
-        self._pause_if_asked()
+        self._check_unanswered(endpoint_id)
+        self._block_if_configured()
         if endpoint.fencing == "checked" or self._is_second_check_off():
             await self._write(order)
         else:
-            await self._by_second(order)
+            await self._send_through_checker(order)
         _log.info(
             "sent",
             endpoint=endpoint_id,
@@ -100,56 +102,60 @@
     def _is_second_check_off(self):
         return self._node.settings.faults.without_second_check
 
-    def _pause_if_asked(self):
+    def _block_if_configured(self):
         pause = self._node.settings.faults.block_before_order_ms
         if pause:
-            # For the proofs only: stop the whole process here, as a stopped
-            # machine would, between the check of the lease and the write.
+            # Fault injection for bench.proofs: blocks the whole process, as
+            # a paused machine would, between the lease check and the write.
             _log.warning("blocked on purpose", ms=pause)
             time.sleep(clock.seconds(pause))
 
-    def _check_doubt(self, endpoint_id):
-        doubt = self._doubt_by_endpoint.get(endpoint_id)
-        if doubt is None:
+    def _check_unanswered(self, endpoint_id):
+        unanswered = self._unanswered_by_endpoint.get(endpoint_id)
+        if unanswered is None:
             return
-        is_back = any(
-            row.id == doubt.second and row.boot != doubt.boot
+        is_restarted = any(
+            row.id == unanswered.checker and row.boot != unanswered.boot
             for row in self._node.members.live()
         )
-        waited = self._node.clock.now() - doubt.since
-        if is_back or waited > IN_DOUBT_MS:
-            del self._doubt_by_endpoint[endpoint_id]
+        waited = self._node.clock.now() - unanswered.since
+        if is_restarted or waited > UNANSWERED_HOLD_MS:
+            del self._unanswered_by_endpoint[endpoint_id]
             return
         raise errors.OrderRefused(
-            f"an order for {endpoint_id} is still open at {doubt.second}"
+            f"an earlier order for {endpoint_id} is still unanswered by "
+            f"{unanswered.checker}"
         )
 
-    async def _by_second(self, order):
-        second = self._second_for(order.endpoint)
+    async def _send_through_checker(self, order):
+        checker = self._checker_for(order.endpoint)
         token = self._node.settings.security.control_token
         try:
             answer = await self._http.post(
-                f"http://{second.control}{PATH}",
+                f"http://{checker.control}{PATH}",
                 json=_schema.plain(order),
                 headers={"Authorization": f"Bearer {token}"},
-                timeout=self._timeout * SECOND_TIMEOUT_FACTOR,
+                timeout=self._timeout * CHECKER_TIMEOUT_FACTOR,
             )
         except (httpx.ConnectError, httpx.ConnectTimeout) as exc:
             raise errors.EndpointFailed(
-                f"{second.id} is out of reach", verdicts.Verdict.NOT_RUN
+                f"checker {checker.id} is unreachable; order not sent",
+                verdicts.Verdict.NOT_RUN,
             ) from exc
         except httpx.HTTPError as exc:
-            self._doubt_by_endpoint[order.endpoint] = _Doubt(
-                second.id, second.boot, self._node.clock.now()
+            self._unanswered_by_endpoint[order.endpoint] = _UnansweredOrder(
+                checker.id, checker.boot, self._node.clock.now()
             )
             raise errors.EndpointFailed(
-                f"{second.id}: {type(exc).__name__}"
+                f"checker {checker.id} failed: {type(exc).__name__}"
             ) from exc
         if answer.status_code != 200:
             error = _web.error_of_problem(answer.content)
-            raise error or errors.EndpointFailed(f"{second.id}: no answer")
+            raise error or errors.EndpointFailed(
+                f"checker {checker.id} gave no valid answer"
+            )
 
-    def _second_for(self, endpoint_id):
+    def _checker_for(self, endpoint_id):
         rows = {
             row.id: row
             for row in self._node.members.live("steward")
@@ -157,19 +163,19 @@
         }
         if not rows:
             raise errors.OrderRefused(
-                "no second steward is there to check the order"
+                "no other live steward can check the order"
             )
         return rows[members.rendezvous(endpoint_id, list(rows))[0]]
 
     async def _on_order(self, request):
-        """Check another steward's order for ourselves, then write it."""
+        """Check another steward's order against the log, then write it."""
         self._node.check(request)
         body = await _web.read_json(request, self._node.settings.limits)
         order, mistakes = _schema.build(Order, body)
         if mistakes:
             raise errors.BadRecord(str(mistakes[0]))
         if order.endpoint not in self._node.view.endpoints_by_id:
-            raise errors.BadRecord(f"no endpoint {order.endpoint!r}")
+            raise errors.BadRecord(f"unknown endpoint {order.endpoint!r}")
         table = self._lease_manager.table
         table.observe(self._node.tail.state)
         if not table.is_current(order.scope, order.fence):
@@ -180,7 +186,7 @@
                 fence=order.fence,
             )
             raise errors.OrderRefused(
-                f"the claim {order.fence} on {order.scope} is not current"
+                f"the claim at {order.fence} on {order.scope} is not current"
             )
         await self._write(order)
         return responses.JSONResponse({})
@@ -199,15 +205,18 @@
                 answer = await self._http.post(url, json=body)
         except (httpx.ConnectError, httpx.ConnectTimeout) as exc:
             raise errors.EndpointFailed(
-                f"{order.endpoint} is out of reach", verdicts.Verdict.NOT_RUN
+                f"{order.endpoint} is unreachable; order not sent",
+                verdicts.Verdict.NOT_RUN,
             ) from exc
         except (httpx.HTTPError, TimeoutError) as exc:
             raise errors.EndpointFailed(
-                f"{order.endpoint}: {type(exc).__name__}"
+                f"order to {order.endpoint} failed: {type(exc).__name__}"
             ) from exc
         if answer.status_code == 409:
-            raise errors.OrderRefused(f"{order.endpoint} holds a newer fence")
+            raise errors.OrderRefused(
+                f"{order.endpoint} has seen a newer fencing token"
+            )
         if answer.status_code != 200:
             raise errors.EndpointFailed(
-                f"{order.endpoint}: {answer.status_code}"
+                f"{order.endpoint} answered {answer.status_code}"
             )
--- a/clementinewall/steward/planner.py
+++ b/clementinewall/steward/planner.py
@@ -1,8 +1,9 @@
-"""The planner's task: measures the demand and assigns roles.
+"""The planner task: measures demand and assigns roles to engines.
 
-It reads the reports of the engines of role ``auto``, turns the growth of
-their counters into demand, asks the policy, and publishes at most one
-assignment at a time as a change in the log.  The stewards carry it out.
+It fetches the reports of the serving engines, derives the demand on each
+model from the growth of their counters, asks the policy for a proposal, and
+publishes at most one assignment per model and pass as a change in the log.
+The stewards that hold the engines' scopes carry it out.
 """
 
 import secrets
@@ -24,13 +25,13 @@
 _log = logs.PartLog("plan")
 
 OUTCOMES_PATH = "/control/outcomes"
-ROUND_MS = 2_000
+PLAN_INTERVAL_MS = 2_000
 REPORT_TIMEOUT_MS = 1_000
-READ_BACK_MS = 3_000
+READ_BACK_TIMEOUT_MS = 3_000
 
 
 class Counts(typing.NamedTuple):
-    """An entry's counts of one model since it started."""
+    """An entry's counts of requests for one model since it started."""
 
     offered: int
     good: int
@@ -44,24 +45,24 @@
         self._node = node
         self._lease_manager = lease_manager
         self._http = _http.client(REPORT_TIMEOUT_MS)
-        self._last_by_id = {}
+        self._last_report_by_id = {}
         self._plan_by_model = {}
-        self._outcomes_by_entry = {}
-        self._at = None
+        self._counts_by_boot = {}
+        self._last_round_at = None
 
     async def run(self):
-        """Plan for ever."""
+        """Plan at a fixed interval until cancelled."""
         while True:
-            await anyio.sleep(clock.seconds(ROUND_MS))
+            await anyio.sleep(clock.seconds(PLAN_INTERVAL_MS))
             if self._lease_manager.holds(scopes.PLANNER):
-                await self._round()
+                await self._plan_all()
             else:
-                self._last_by_id.clear()
+                self._last_report_by_id.clear()
                 self._plan_by_model.clear()
-                self._outcomes_by_entry.clear()
-                self._at = None
+                self._counts_by_boot.clear()
+                self._last_round_at = None
 
-    async def _round(self):
+    async def _plan_all(self):
         names = [
             name
             for name, row in self._node.view.endpoints_by_id.items()
@@ -72,18 +73,20 @@
             for name in names:
                 group.start_soon(self._fetch, name, report_by_id)
         now = self._node.clock.now()
-        elapsed = 0 if self._at is None else now - self._at
-        self._at = now
+        elapsed = (
+            0 if self._last_round_at is None else now - self._last_round_at
+        )
+        self._last_round_at = now
         outcomes = await self._new_outcomes()
         for model in self._models(names):
             await self._plan(model, report_by_id, elapsed, outcomes)
-        self._last_by_id = report_by_id
+        self._last_report_by_id = report_by_id
 
     async def _new_outcomes(self):
-        """Return ``(offered, good)`` by model since the last round.
+        """Return ``(offered, good)`` by model since the previous pass.
 
-        The entries that every node knows are asked: all of them in a small
-        deployment, a sample in a large one.
+        Only the representative entries are asked: all entries of a small
+        deployment, a sample of a large one.
         """
         rows = self._node.members.representatives("entry")
         counts = {}
@@ -92,15 +95,15 @@
                 group.start_soon(self._fetch_outcomes, row, counts)
         total = {}
         for boot, by_model in counts.items():
-            before = self._outcomes_by_entry.get(boot, {})
+            previous_counts = self._counts_by_boot.get(boot, {})
             for model, (offered, good) in by_model.items():
-                old = before.get(model, (0, 0))
+                old = previous_counts.get(model, (0, 0))
                 sums = total.get(model, (0, 0))
                 total[model] = (
                     sums[0] + offered - old[0],
                     sums[1] + good - old[1],
                 )
-        self._outcomes_by_entry = counts
+        self._counts_by_boot = counts
         return total
 
     async def _fetch_outcomes(self, row, counts):
@@ -112,7 +115,9 @@
             )
             data = answer.json()
         except (httpx.HTTPError, ValueError) as exc:
-            _log.debug("no outcomes", entry=row.id, why=repr(exc))
+            _log.debug(
+                "the entry gave no outcome counts", entry=row.id, why=repr(exc)
+            )
             return
         value, mistakes = _schema.build(dict[str, Counts], data)
         if not mistakes:
@@ -127,35 +132,40 @@
         try:
             report = await reports.fetch(self._http, name, address)
         except errors.EndpointFailed as exc:
-            _log.debug("no report", endpoint=name, why=exc.message)
+            _log.debug(
+                "the endpoint gave no report", endpoint=name, why=exc.message
+            )
             return
         report_by_id[name] = report
 
     async def _plan(self, model, report_by_id, elapsed, outcomes):
         rows = self._node.view.endpoints_by_id
-        mine = {
+        reports_of_model = {
             name: report
             for name, report in report_by_id.items()
             if model in rows[name].serves
         }
-        if not elapsed or not mine:
+        if not elapsed or not reports_of_model:
             return
         now = self._node.clock.now()
         plan = self._plan_by_model.setdefault(model, roles.ModelPlan(now))
-        demand = demand_of(mine, self._last_by_id, elapsed)
+        demand = demand_of(reports_of_model, self._last_report_by_id, elapsed)
         plan.add(demand, *outcomes.get(model, (0, 0)), elapsed)
         proposal = plan.consider(
-            [self._view(name, report) for name, report in mine.items()],
+            [
+                self._engine_view(name, report)
+                for name, report in reports_of_model.items()
+            ],
             self._node.view.policy,
             now,
         )
         if proposal is not None:
             await self._publish(model, proposal)
 
-    def _view(self, name, report):
+    def _engine_view(self, name, report):
         row = self._node.view.endpoints_by_id[name]
-        given = self._node.view.assignments_by_id.get(name)
-        is_pending = given is not None and given.role != report.role
+        assignment = self._node.view.assignments_by_id.get(name)
+        is_pending = assignment is not None and assignment.role != report.role
         return roles.EngineView(
             name,
             report.role,
@@ -177,14 +187,19 @@
         try:
             await self._node.log.append(control.STREAM, record)
             outcome = await self._node.tail.wait_outcome(
-                record.id, READ_BACK_MS
+                record.id, READ_BACK_TIMEOUT_MS
             )
         except errors.ClementinewallError as exc:
-            _log.warning("an assignment is unsure", error=exc.message)
+            _log.warning(
+                "assignment not confirmed; planning again in the next pass",
+                error=exc.message,
+            )
             return
         self._plan_by_model[model].changed(self._node.clock.now())
         _log.info(
-            "assigned a role" if outcome.valid else "lost an assignment",
+            "assigned a role"
+            if outcome.valid
+            else "assignment rejected by the log",
             endpoint=proposal.engine,
             role=proposal.role,
             gain=f"{proposal.gain:.1f}",
@@ -193,24 +208,24 @@
         )
 
 
-def demand_of(report_by_id, last_by_id, elapsed_ms):
-    """Return the demand seen between two rounds of reports.
+def demand_of(report_by_id, previous_by_id, elapsed_ms):
+    """Return the demand between two passes over the reports.
 
-    Work that still waits counts as if it had come in this round: an engine
-    at its limit works off no more than it can, whatever is asked of it.
+    Growth of the queue counts as demand too: the work that a saturated
+    engine completes shows its capacity, not what was asked of it.
     """
     prefill = decode = answers = 0.0
     for name, report in report_by_id.items():
-        last = last_by_id.get(name)
-        if last is None or last.boot != report.boot:
+        previous = previous_by_id.get(name)
+        if previous is None or previous.boot != report.boot:
             continue
-        waiting = max(0, report.queued_tokens - last.queued_tokens)
-        done = report.prefill_done - last.prefill_done
+        waiting = max(0, report.queued_tokens - previous.queued_tokens)
+        done = report.prefill_done - previous.prefill_done
         prefill += (done + waiting) * report.prefill_us / 1_000
-        tokens = report.decode_done - last.decode_done
-        crowd = max(1.0, report.running / max(1, report.slots))
-        decode += tokens * crowd * report.gap_ms / max(1, report.slots)
-        answers += report.arrived - last.arrived
+        tokens = report.decode_done - previous.decode_done
+        slot_load = max(1.0, report.running / max(1, report.slots))
+        decode += tokens * slot_load * report.gap_ms / max(1, report.slots)
+        answers += report.arrived - previous.arrived
     return roles.Demand(
         prefill / elapsed_ms,
         decode / elapsed_ms,
--- a/clementinewall/steward/program.py
+++ b/clementinewall/steward/program.py
@@ -1,4 +1,4 @@
-"""The steward process: its tasks, its listener and its end."""
+"""The steward process: its tasks, its listener and its shutdown."""
 
 import anyio
 
@@ -16,23 +16,27 @@
 
 _log = logs.PartLog("steward")
 
-WANT_MS = 500
+SCOPES_INTERVAL_MS = 500
 
 
 class Steward:
     """The steward program."""
 
     def __init__(self, life):
-        """Take the life cycle of the process."""
+        """Create the tasks for the process with life cycle ``life``."""
         self.node = node.Node(life, "steward")
         self.lease_manager = lease_manager.LeaseManager(self.node)
         self.sender = orders.OrderSender(self.node, self.lease_manager)
-        self.fleet = fleet.Fleet(self.node, self.lease_manager, self.sender)
+        self.fleet = fleet.FleetReconciler(
+            self.node, self.lease_manager, self.sender
+        )
         self.planner = planner.Planner(self.node, self.lease_manager)
-        self.snapshots = snapshots.Snapshots(self.node, self.lease_manager)
+        self.snapshots = snapshots.SnapshotWriter(
+            self.node, self.lease_manager
+        )
 
     async def run(self):
-        """Serve until asked to stop, then give the scopes up."""
+        """Serve until asked to stop, then release the scopes."""
         control = _web.application(
             [*self.node.control_routes(), *self.sender.routes()]
         )
@@ -40,7 +44,7 @@
         async with anyio.create_task_group() as group:
             await self.node.run(group)
             group.start_soon(_web.serve, control, address, self.node.closed)
-            group.start_soon(self._want)
+            group.start_soon(self._update_scopes)
             group.start_soon(self.lease_manager.run)
             group.start_soon(self.fleet.run)
             group.start_soon(self.planner.run)
@@ -56,30 +60,30 @@
             group.cancel_scope.cancel()
         return lifecycle.Event.DRAINED
 
-    async def _want(self):
-        """Keep telling the lease manager which scopes to hold."""
+    async def _update_scopes(self):
+        """Keep the lease manager informed of the scopes to hold."""
         while not self.node.stopping.is_set():
             if self.node.is_ready():
-                self.lease_manager.want(self._wanted())
-            await anyio.sleep(clock.seconds(WANT_MS))
+                self.lease_manager.set_scopes(self._claim_delays())
+            await anyio.sleep(clock.seconds(SCOPES_INTERVAL_MS))
 
-    def _wanted(self):
+    def _claim_delays(self):
         table = self.node.members
-        wanted = dict(scopes.endpoint_scopes(self.node.view))
-        wanted[scopes.PLANNER] = ""
-        wanted[scopes.SNAPSHOTS] = ""
-        patience = {
-            scope: scopes.patience(scope, data_centre, table)
-            for scope, data_centre in wanted.items()
+        data_centre_by_scope = dict(scopes.endpoint_scopes(self.node.view))
+        data_centre_by_scope[scopes.PLANNER] = ""
+        data_centre_by_scope[scopes.SNAPSHOTS] = ""
+        delay_by_scope = {
+            scope: scopes.claim_delay(scope, data_centre, table)
+            for scope, data_centre in data_centre_by_scope.items()
         }
-        for model in self.fleet.changes_wanted():
-            patience[scopes.change_scope(model)] = 0
+        for model in self.fleet.models_awaiting_change():
+            delay_by_scope[scopes.change_scope(model)] = 0
         held = self.lease_manager.table.own_scopes()
         return {
             scope: wait
-            for scope, wait in patience.items()
+            for scope, wait in delay_by_scope.items()
             if wait is not None or scope in held
-        } | {s: 0 for s in held if s in wanted}
+        } | {s: 0 for s in held if s in data_centre_by_scope}
 
 
 async def run(life):
--- a/clementinewall/steward/scopes.py
+++ b/clementinewall/steward/scopes.py
@@ -1,9 +1,9 @@
-"""Which scopes there are and who should preferably hold them.
+"""The scopes of leases, and which stewards should claim them first.
 
-The endpoints of a data centre are one scope or, in large data centres,
-several; a scope never spans data centres.  Beside these there is one scope
-for planning roles, one for snapshots of the log, and one a model for the
-right to take one of its engines away from work.
+The endpoints of a data centre form one scope or, in large data centres,
+several; a scope never spans data centres.  There is also one scope for
+planning roles, one for snapshots of the log, and one per model for the right
+to take one of its engines out of service for a change.
 """
 
 import hashlib
@@ -12,9 +12,10 @@
 
 PLANNER = "planner"
 SNAPSHOTS = "snapshots"
-# Extra wait of a steward that is not the preferred holder, by rank.
-PATIENCE_MS = 700
-FAR_PATIENCE_MS = 3_000
+# Delays of a claim by a steward that is not the preferred holder: for each
+# place in the ranking, and for being in another data centre.
+DELAY_PER_RANK_MS = 700
+REMOTE_DELAY_MS = 3_000
 
 
 def scope_of(endpoint_id, data_centre, shards):
@@ -32,7 +33,7 @@
 
 
 def endpoint_scopes(view):
-    """Return the scopes by name with their data centre."""
+    """Return the data centre by scope for all endpoints of ``view``."""
     shards = view.policy.shards
     return {
         scope_of(name, endpoint.data_centre, shards): endpoint.data_centre
@@ -40,23 +41,25 @@
     }
 
 
-def patience(scope, data_centre, table):
-    """Return how long to wait before claiming a free scope.
+def claim_delay(scope, data_centre, table):
+    """Return how many ms to wait before claiming a free scope.
 
-    ``None`` leaves the scope to others: only a few stewards try for each,
-    or every lost lease would cost an append by each of hundreds.
+    ``None`` leaves the scope to others: only a few stewards claim each
+    scope, or hundreds of them would append a claim for every expired lease.
     """
     live = [row for row in table.live("steward") if row.state == "live"]
-    home = [row.id for row in live if row.data_centre == data_centre]
+    local_ids = [row.id for row in live if row.data_centre == data_centre]
     others = table.representatives("steward")
-    away = [row.id for row in others if row.data_centre != data_centre]
-    order = members.rendezvous(scope, home)
-    if table.own.id in order:
-        rank = order.index(table.own.id)
-        return rank * PATIENCE_MS if rank < members.MAX_CANDIDATES else None
-    order = members.rendezvous(scope, away)
-    if table.own.id in order:
-        rank = order.index(table.own.id)
+    remote_ids = [row.id for row in others if row.data_centre != data_centre]
+    ranked = members.rendezvous(scope, local_ids)
+    if table.own.id in ranked:
+        rank = ranked.index(table.own.id)
+        return (
+            rank * DELAY_PER_RANK_MS if rank < members.MAX_CANDIDATES else None
+        )
+    ranked = members.rendezvous(scope, remote_ids)
+    if table.own.id in ranked:
+        rank = ranked.index(table.own.id)
         if rank < members.MAX_CANDIDATES:
-            return FAR_PATIENCE_MS + rank * PATIENCE_MS
+            return REMOTE_DELAY_MS + rank * DELAY_PER_RANK_MS
     return None
--- a/tests/steward/test_leases.py
+++ b/tests/steward/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases: two holders never both believe that they may order."""
+"""Leases: at no moment may two stewards send orders in one scope."""
 
 import unittest
 
@@ -18,17 +18,17 @@
 
 
 class OneHolder(stateful.RuleBasedStateMachine):
-    """Two stewards with drifting clocks read one log, each late.
+    """Two stewards with drifting clocks read one log with delays.
 
-    Any of them may be slow or not run at all for a while.  An append takes
-    effect at once but is read back only when its steward reads.
+    Either may be slow or paused.  An append takes effect at once, but each
+    steward sees it only when it reads the log.
     """
 
     def __init__(self):
         """Start with an empty log and free scopes."""
         super().__init__()
         self.log = []
-        self.under_way = []
+        self.in_flight = []
         self.clocks = {n: clock.ManualClock(i) for i, n in enumerate(NAMES)}
         self.state = {n: control.State() for n in NAMES}
         self.table = {}
@@ -59,7 +59,7 @@
 
     @stateful.rule(name=st.sampled_from(NAMES), lost=st.booleans())
     def renew(self, name, lost):
-        """Renew what this steward believes to hold; some are lost."""
+        """Renew the lease this steward last read as its own, or lose it."""
         table = self.table[name]
         if table.is_own(SCOPE):
             claims = {SCOPE: table.fence(SCOPE)}
@@ -72,13 +72,13 @@
         record = control.Claim(
             self._next(name), SCOPE, name, name, "a", *expected
         )
-        self.under_way.append(_schema.plain(record))
+        self.in_flight.append(_schema.plain(record))
 
-    @stateful.precondition(lambda self: self.under_way)
+    @stateful.precondition(lambda self: self.in_flight)
     @stateful.rule()
     def arrive(self):
-        """Let the oldest claim that is under way reach the log."""
-        self.log.append(self.under_way.pop(0))
+        """Append the oldest claim that is still in flight."""
+        self.log.append(self.in_flight.pop(0))
 
     @stateful.invariant()
     def one_at_most(self):
@@ -99,33 +99,33 @@
 
 
 class OwnLeaseTest(unittest.TestCase):
-    """What a holder may rely on."""
+    """The remaining time of a holder's own lease."""
 
-    def test_a_renewal_that_is_read_back_late_counts_from_its_sending(self):
-        """The log is slow: the renewal took effect long before it is read.
+    def test_lease_starts_when_its_record_was_sent(self):
+        """Two stewards could order one engine if a lease started too late.
 
-        A challenger has seen it at once and waits out the lease from then.
-        Counted from the reading, the lease would outlast that wait, and two
-        stewards would send orders to one engine.
+        The log is slow: the record took effect long before its sender reads
+        it back, but a challenger read it at once and waits from then.  A
+        lease that started at the read-back would outlast that wait.
         """
         now = clock.ManualClock()
         state = control.State()
         state.begin(0)
         table = leases.LeaseTable(LEASES, "x", now.now)
-        table.sending("1")
+        table.record_sent("1")
         claim = control.Claim("1", SCOPE, "x", "x", "a", -1, -1)
         now.advance(LEASES.lease_ms - 1)
         state.apply(0, _schema.plain(claim))
         table.observe(state)
-        self.assertEqual(1, table.left_ms(SCOPE))
+        self.assertEqual(1, table.remaining_ms(SCOPE))
         self.assertFalse(table.may_order(SCOPE))
 
 
 class SecondCheckTest(unittest.TestCase):
-    """What the second steward lets pass."""
+    """The check of a claim by a steward other than its holder."""
 
     def setUp(self):
-        """Let x claim, seen by the second steward z."""
+        """Append a claim by x, read by the checking steward z."""
         self.clock = clock.ManualClock()
         self.state = control.State()
         self.state.begin(0)
@@ -137,20 +137,20 @@
         self.table.observe(self.state)
 
     def test_a_current_claim_passes(self):
-        """The claim stands and was seen a moment ago."""
+        """The claim is in effect and was read just now."""
         self.assertTrue(self.table.is_current(SCOPE, 0))
 
     def test_a_replaced_claim_is_refused(self):
-        """The holder was paused while y took over, then sends its order.
+        """An engine that ignores fencing tokens could get an outdated order.
 
-        Let through, an engine that ignores fencing tokens would follow it.
+        The holder is paused while y takes over, then sends its order.
         """
         self._apply(control.Claim("2", SCOPE, "y", "y", "a", 0, 0))
         self.assertFalse(self.table.is_current(SCOPE, 0))
         self.assertTrue(self.table.is_current(SCOPE, 1))
 
-    def test_a_lapsed_claim_is_refused(self):
-        """Nobody took over yet, but somebody may at any moment now."""
+    def test_an_expired_claim_is_refused(self):
+        """No other steward has claimed the scope yet, but one may now."""
         self.clock.advance(LEASES.lease_ms)
         self.assertFalse(self.table.is_current(SCOPE, 0))
 
