--- a/clementinewall/membership/__init__.py
+++ b/clementinewall/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which instances there are, and in which state."""
+"""Membership: the known instances and their states."""
--- a/clementinewall/membership/crashes.py
+++ b/clementinewall/membership/crashes.py
@@ -1,10 +1,10 @@
-"""Which work crashed which endpoints, fleet-wide.
+"""Crash records: which requests crashed which endpoints, fleet-wide.
 
-Now and then a request crashes each endpoint that runs it, and its caller
-sends it again, to any entry.  Work is known by a digest of caller and body.
-Marks travel with the gossip and, when new, at once; work with two marks
-gets no third endpoint.  The table is bounded: on overflow the oldest mark
-goes, which may cost one more endpoint for that work.
+Some requests crash every endpoint that runs them, and their callers retry
+them through any entry.  A request is identified by a digest of caller and
+body.  Crash records spread by gossip and, when new, immediately; a request
+with two crash records gets no third endpoint.  The table is bounded: on
+overflow the oldest request is dropped, which may cost one more endpoint.
 """
 
 import collections
@@ -20,91 +20,95 @@
 EXPIRY_INTERVAL_MS = 1_000
 
 
-class _Mark(typing.NamedTuple):
-    born: int
+class _CrashRecord(typing.NamedTuple):
+    crashed_at: int
     strong: bool
 
 
 class CrashTable:
-    """The bounded table of marks.
+    """The bounded table of crash records by request digest.
 
-    When an engine goes down, every request on it is marked.  A mark is
-    strong if the request had no token from that engine yet.  A crash that
-    one request with two strong marks explains is not held against the
-    requests that were only there at the time.
+    When an engine goes down, every request on it gets a crash record.  The
+    record is strong if that engine had sent no token of the request yet.  A
+    crash attributed to a request with at least two strong records does not
+    count against requests that have only a weak record of it.
     """
 
     def __init__(self, now):
         """Start empty; ``now`` gives milliseconds."""
         self._now = now
-        self._by_digest = collections.OrderedDict()
-        self._sound = collections.OrderedDict()
+        self._records_by_digest = collections.OrderedDict()
+        self._cleared = collections.OrderedDict()
         self._expire_at = 0
 
     def add(self, digest, endpoint, age_ms=0, strong=True):
-        """Record a mark; return whether it is new."""
-        if age_ms >= RECORD_LIFETIME_MS or digest in self._sound:
+        """Add a crash record; return whether it is new or now strong."""
+        if age_ms >= RECORD_LIFETIME_MS or digest in self._cleared:
             return False
-        marks = self._by_digest.setdefault(digest, {})
-        known = marks.get(endpoint)
+        records = self._records_by_digest.setdefault(digest, {})
+        known = records.get(endpoint)
         if known is not None and (known.strong or not strong):
             return False
-        marks[endpoint] = _Mark(self._now() - age_ms, strong)
-        while len(self._by_digest) > MAX_SUSPECTS:
-            self._by_digest.popitem(last=False)
+        records[endpoint] = _CrashRecord(self._now() - age_ms, strong)
+        while len(self._records_by_digest) > MAX_SUSPECTS:
+            self._records_by_digest.popitem(last=False)
         return True
 
     def clear(self, digest):
-        """Note that this work was answered: it doesn't crash endpoints.
+        """Record that this request was answered, so it crashes no endpoint.
 
-        Many callers ask the same of a service.  When endpoints crash for
-        reasons of their own, such a question is open at each of them; with
-        two marks it would be refused to everybody for ten minutes.
+        Many callers send the same request to a service.  When endpoints
+        crash for other reasons, it is in progress on each of them; with two
+        crash records it would be refused to all callers for ten minutes.
         """
-        self._by_digest.pop(digest, None)
-        self._sound[digest] = True
-        self._sound.move_to_end(digest)
-        while len(self._sound) > MAX_CLEARED:
-            self._sound.popitem(last=False)
+        self._records_by_digest.pop(digest, None)
+        self._cleared[digest] = True
+        self._cleared.move_to_end(digest)
+        while len(self._cleared) > MAX_CLEARED:
+            self._cleared.popitem(last=False)
 
     def merge(self, crashes):
-        """Take in the marks of a peer."""
+        """Merge the crash records of a peer."""
         for crash in crashes:
             age = max(0, crash.age_ms)
             self.add(crash.digest, crash.endpoint, age, crash.strong)
 
     def endpoints(self, digest):
-        """Return the endpoints which that work is held to have crashed."""
+        """Return the endpoints whose crashes count against the request."""
         self._expire()
-        marks = self._by_digest.get(digest)
-        if marks is None:
+        records = self._records_by_digest.get(digest)
+        if records is None:
             return set()
         return {
             endpoint
-            for endpoint in marks
+            for endpoint in records
             if not self._is_explained(digest, endpoint)
         }
 
     def is_harmful(self, digest):
-        """Tell whether that work must get no further endpoint."""
+        """Tell whether the request must get no further endpoint."""
         return len(self.endpoints(digest)) >= MAX_CRASHES
 
     def message(self):
-        """Return the newest marks for a peer."""
+        """Return the crash records of the newest requests, for a peer."""
         self._expire()
         now = self._now()
-        newest = list(self._by_digest.items())[-MAX_DIGESTS_PER_MESSAGE:]
+        newest = list(self._records_by_digest.items())[
+            -MAX_DIGESTS_PER_MESSAGE:
+        ]
         return tuple(
-            members.Crash(digest, endpoint, now - mark.born, mark.strong)
-            for digest, marks in newest
-            for endpoint, mark in marks.items()
+            members.Crash(
+                digest, endpoint, now - record.crashed_at, record.strong
+            )
+            for digest, records in newest
+            for endpoint, record in records.items()
         )
 
     def _is_explained(self, digest, endpoint):
-        own = self._by_digest[digest][endpoint]
+        own = self._records_by_digest[digest][endpoint]
         return not own.strong and any(
-            other != digest and _explains(marks, endpoint)
-            for other, marks in self._by_digest.items()
+            other != digest and _explains(records, endpoint)
+            for other, records in self._records_by_digest.items()
         )
 
     def _expire(self):
@@ -112,15 +116,15 @@
         if now < self._expire_at:
             return
         self._expire_at = now + EXPIRY_INTERVAL_MS
-        limit = now - RECORD_LIFETIME_MS
-        for digest, marks in list(self._by_digest.items()):
-            left = {e: m for e, m in marks.items() if m.born > limit}
+        oldest = now - RECORD_LIFETIME_MS
+        for digest, records in list(self._records_by_digest.items()):
+            left = {e: r for e, r in records.items() if r.crashed_at > oldest}
             if left:
-                self._by_digest[digest] = left
+                self._records_by_digest[digest] = left
             else:
-                del self._by_digest[digest]
+                del self._records_by_digest[digest]
 
 
-def _explains(marks, endpoint):
-    strong = [name for name, mark in marks.items() if mark.strong]
+def _explains(records, endpoint):
+    strong = [name for name, record in records.items() if record.strong]
     return endpoint in strong and len(strong) >= MAX_CRASHES
--- a/clementinewall/membership/gossip.py
+++ b/clementinewall/membership/gossip.py
@@ -1,8 +1,8 @@
-"""The task that exchanges rows and crash marks with peers.
+"""The task that exchanges member rows and crash records with peers.
 
-Once in ``gossip_ms`` an instance greets one peer of its data centre and now
-and then one elsewhere, and takes the peer's rows from the reply.  The
-platform's instance list lags, so it only seeds the table.
+Every ``gossip_ms`` an instance sends a hello to one peer of its program and
+data centre, and sometimes to one elsewhere, and merges the rows of the
+reply.  The platform's instance list lags, so it only seeds the table.
 """
 
 import collections
@@ -22,19 +22,19 @@
 
 _log = logs.PartLog("member")
 
-URGENT_PEERS = 8
-URGENT_TRIES = 3
-REPLY_MS = 150
-SEED_EVERY = 20
-SEED_CONTACTS = 2
-# In its first rounds a process knows nobody, and those whom it met last may
-# be of one program or data centre only.
-FIRST_ROUNDS = 6
+MAX_URGENT_PEERS = 8
+MAX_URGENT_ATTEMPTS = 3
+REPLY_TIMEOUT_MS = 150
+SEED_INTERVAL_ROUNDS = 20
+MAX_SEED_PEERS = 2
+# Seeds are also used in the first rounds: a starting process knows no peer,
+# and the first ones may all be of one program or data centre.
+STARTUP_ROUNDS = 6
 SEED_TIMEOUT_MS = 1_000
-WANT_LIMIT = 20
-OUTBOX_LIMIT = 500
-# A changed row is sent whole for this many rounds, so that most peers need
-# not ask for it.
+MAX_WANTED_ROWS = 20
+MAX_OUTBOX_DATAGRAMS = 500
+# A changed row is sent in full for this many rounds, so that most peers do
+# not have to request it.
 FRESH_ROUNDS = 3
 
 
@@ -53,10 +53,10 @@
 
 
 class Gossiper:
-    """Owns the socket for membership."""
+    """Runs the gossip protocol on its own UDP socket."""
 
     def __init__(self, settings, table, crashes):
-        """Exchange the rows of ``table`` and the marks of ``crashes``."""
+        """Exchange the rows of ``table`` and records of ``crashes``."""
         self._settings = settings
         self._table = table
         self._crashes = crashes
@@ -64,14 +64,17 @@
         self._http = _http.client(SEED_TIMEOUT_MS)
         self._socket = None
         self._outbox, self._to_write = anyio.create_memory_object_stream(
-            OUTBOX_LIMIT
+            MAX_OUTBOX_DATAGRAMS
         )
         self._waiting_by_nonce = {}
         self._fresh_by_id = collections.Counter()
         self._round_number = 0
 
-    async def run(self, in_force):
-        """Gossip for ever; ``in_force()`` gives version and offset."""
+    async def run(self, active_version):
+        """Gossip until cancelled.
+
+        ``active_version()`` gives the active version and the next offset.
+        """
         host, _, port = self._settings.listen.control.rpartition(":")
         async with (
             await anyio.create_udp_socket(
@@ -81,23 +84,30 @@
         ):
             group.start_soon(self._receive)
             group.start_soon(self._write)
-            await self._greet(in_force)
+            await self._gossip(active_version)
 
     async def announce(self):
-        """Tell several peers at once and wait until they know."""
+        """Send the own rows to several peers and wait for their replies.
+
+        Peers that do not reply to the last attempt are skipped.
+        """
         async with anyio.create_task_group() as group:
-            for address in self._table.urgent_peers(URGENT_PEERS):
-                group.start_soon(self._tell, address)
+            for address in self._table.urgent_peers(MAX_URGENT_PEERS):
+                group.start_soon(self._announce_to, address)
 
-    async def _greet(self, in_force):
+    async def _gossip(self, active_version):
         period = self._settings.membership.gossip_ms
         while True:
-            self._table.advance_heartbeat(*in_force())
+            self._table.advance_heartbeat(*active_version())
             self._table.expire()
             self._round_number += 1
             peers = self._table.gossip_peers()
-            is_new = self._round_number <= FIRST_ROUNDS
-            if not peers or is_new or self._round_number % SEED_EVERY == 0:
+            is_new = self._round_number <= STARTUP_ROUNDS
+            if (
+                not peers
+                or is_new
+                or self._round_number % SEED_INTERVAL_ROUNDS == 0
+            ):
                 peers = peers + await self._seeds()
             for address in peers:
                 self._send(address, self._message(wire.HELLO))
@@ -105,24 +115,24 @@
             jitter = random.uniform(0.8, 1.2)
             await anyio.sleep(clock.seconds(period) * jitter)
 
-    async def _tell(self, address):
-        """Greet until the peer has replied, a few times at most."""
+    async def _announce_to(self, address):
+        """Send a hello until the peer replies or attempts run out."""
         nonce = random.getrandbits(48)
         replied = self._waiting_by_nonce[nonce] = anyio.Event()
         try:
-            for _ in range(URGENT_TRIES):
+            for _ in range(MAX_URGENT_ATTEMPTS):
                 message = self._message(wire.HELLO)._replace(nonce=nonce)
                 self._send(address, message)
-                with anyio.move_on_after(clock.seconds(REPLY_MS)):
+                with anyio.move_on_after(clock.seconds(REPLY_TIMEOUT_MS)):
                     await replied.wait()
                     return
         finally:
             del self._waiting_by_nonce[nonce]
 
     def _message(self, kind):
-        """Return everything for a peer: marks, fresh rows and beats."""
+        """Return a datagram of crash records, changed rows and heartbeats."""
         rows = self._table.message_rows()
-        whole = [
+        full_rows = [
             row
             for row in rows
             if row.id == self._table.own.id or self._fresh_by_id[row.id] > 0
@@ -133,7 +143,7 @@
         return wire.Datagram(
             kind,
             self._table.own.id,
-            rows=tuple(whole),
+            rows=tuple(full_rows),
             marks=self._crashes.message(),
             beats=beats,
         )
@@ -141,7 +151,8 @@
     def _send(self, address, datagram):
         """Hand a datagram to the task that writes to the socket.
 
-        A full channel drops it: the next round sends news of the same rows.
+        It is dropped if the channel is full: the next round sends the same
+        rows again.
         """
         for raw in wire.split(datagram, self._codec):
             try:
@@ -156,27 +167,29 @@
             try:
                 await self._socket.sendto(raw, host, int(port))
             except OSError as exc:
-                _log.debug("no way to a peer", peer=address, error=str(exc))
+                _log.debug(
+                    "datagram not sent to a peer", peer=address, error=str(exc)
+                )
 
     async def _receive(self):
         while True:
             try:
                 raw, (host, port, *_) = await self._socket.receive()
             except OSError:
-                # A peer that is gone answers with "port unreachable", which
-                # the system reports here; it says nothing of the others.
+                # The system reports "port unreachable" from a stopped peer
+                # here; the socket still works for the other peers.
                 continue
             metrics.count("control_bytes", len(raw), part="gossip", way="in")
             try:
-                self._take(self._codec.decode(raw), f"{host}:{port}")
+                self._apply(self._codec.decode(raw), f"{host}:{port}")
             except errors.ClementinewallError as exc:
                 _log.warning(
-                    "a datagram was refused",
+                    "dropped an invalid datagram",
                     by=f"{host}:{port}",
                     why=exc.message,
                 )
 
-    def _take(self, datagram, address):
+    def _apply(self, datagram, address):
         for row in datagram.rows:
             if self._table.merge_row(row):
                 self._fresh_by_id[row.id] = FRESH_ROUNDS
@@ -190,7 +203,7 @@
             want = wire.Datagram(
                 wire.WANT,
                 self._table.own.id,
-                want=tuple(unknown[:WANT_LIMIT]),
+                want=tuple(unknown[:MAX_WANTED_ROWS]),
             )
             self._send(address, want)
         if datagram.kind == wire.HELLO:
@@ -204,8 +217,8 @@
             waiting.set()
 
     def _reply(self, hello, address):
-        # A hello that was cut into several datagrams is answered once, by
-        # the part that carries the sender's own row.
+        # A hello split into several datagrams gets one reply, to the part
+        # with the sender's own row.
         if any(row.id == hello.sender for row in hello.rows):
             reply = self._message(wire.REPLY)._replace(nonce=hello.nonce)
             self._send(address, reply)
@@ -218,15 +231,19 @@
             answer = await self._http.get(f"http://{address}/instances")
             data = answer.json()
         except (httpx.HTTPError, ValueError) as exc:
-            _log.debug("the instance list failed", error=repr(exc))
+            _log.debug(
+                "instance list not available; no seeds this round",
+                error=repr(exc),
+            )
             return []
         seeds, mistakes = _schema.build(Seeds, data)
         if mistakes:
             _log.warning(
-                "the instance list is garbled", error=str(mistakes[0])
+                "instance list is malformed; no seeds this round",
+                error=str(mistakes[0]),
             )
             return []
         own = self._table.own.control
         addresses = [s.control for s in seeds.instances if s.control != own]
-        count = min(SEED_CONTACTS, len(addresses))
+        count = min(MAX_SEED_PEERS, len(addresses))
         return random.sample(addresses, count)
--- a/clementinewall/membership/members.py
+++ b/clementinewall/membership/members.py
@@ -1,10 +1,10 @@
-"""What an instance knows of the others, as pure state.
+"""The membership table of an instance, without any I/O.
 
-Inside a data centre everybody knows everybody; of the other data centres
-only a few instances each, so that what a node sends and keeps does not grow
-with the whole system.  A member's row counts as newer by incarnation and
-beat, which only the member itself raises.  Whether a member is alive is
-judged by each reader on its own clock, from when it last saw the row move.
+Instances of one data centre all know each other, but only a few instances of
+each other data centre, so that messages and tables do not grow with the
+whole system.  Rows of a member are ordered by incarnation and heartbeat,
+which only the member itself increases.  Each process judges by its own clock
+whether a member is alive, from when the row last advanced.
 """
 
 import hashlib
@@ -14,18 +14,18 @@
 from clementinewall import _schema
 
 # A dead row is kept this many times ``dead_after_ms`` so that a late copy
-# of it is recognised as old news instead of a new instance.
-FORGET_FACTOR = 15
-# One round in so many also goes to another data centre or program.
-FOREIGN_SHARE = 3
-# How many of a rendezvous order may act before the rest need to.
+# of it is recognised as outdated instead of taken for a new instance.
+ROW_RETENTION_FACTOR = 15
+# One round in this many also goes to another data centre or program.
+ROUNDS_PER_REMOTE_EXCHANGE = 3
+# Only the first members of a rendezvous order compete for a scope.
 MAX_CANDIDATES = 3
 
 State = typing.Annotated[str, _schema.OneOf(("live", "leaving"))]
 
 
 class Member(typing.NamedTuple):
-    """One process of the system, as it describes itself."""
+    """The row of one process, as it describes itself."""
 
     id: str
     program: str
@@ -44,8 +44,8 @@
 class Crash(typing.NamedTuple):
     """An endpoint that went down while it ran the work ``digest``.
 
-    ``age_ms`` grows on the way, so that a mark ends everywhere even though
-    instances keep telling it to each other.
+    ``age_ms`` is sent instead of a time, so that a crash record expires
+    everywhere although instances keep sending it to each other.
     """
 
     digest: str
@@ -58,40 +58,40 @@
     """The table of members, with this process's own row in it."""
 
     def __init__(self, own, settings, now):
-        """Begin with the own row only; ``now`` gives milliseconds."""
+        """Start with the own row only; ``now`` gives milliseconds."""
         self.own = own
         self._settings = settings
         self._now = now
         self._member_by_id = {}
-        self._moved_by_id = {}
+        self._advanced_at_by_id = {}
 
     def advance_heartbeat(self, version, offset):
-        """Raise the own beat and tell what is in force here."""
+        """Advance the own heartbeat and set the active version and offset."""
         self.own = self.own._replace(
             beat=self.own.beat + 1, version=version, next=offset
         )
 
     def mark_draining(self):
-        """Mark the own row as leaving."""
+        """Mark the own row as draining (``leaving`` on the wire)."""
         self.own = self.own._replace(state="leaving", beat=self.own.beat + 1)
 
     def merge_row(self, row):
-        """Take in a whole row; return whether it tells anything new."""
+        """Merge a full row; return whether more than its heartbeat is new."""
         if row.id == self.own.id:
             self._merge_own(row)
             return False
         known = self._member_by_id.get(row.id)
-        if known is not None and _age(row) <= _age(known):
+        if known is not None and _row_version(row) <= _row_version(known):
             return False
         self._member_by_id[row.id] = row
-        self._moved_by_id[row.id] = self._now()
+        self._advanced_at_by_id[row.id] = self._now()
         same = known and known._replace(
             beat=row.beat, version=row.version, next=row.next
         )
         return same != row
 
     def merge_heartbeat(self, beat):
-        """Take in a beat; return ``False`` if its row must be asked for."""
+        """Merge a heartbeat; return ``False`` if its row must be requested."""
         if beat.id == self.own.id:
             return True
         known = self._member_by_id.get(beat.id)
@@ -101,29 +101,29 @@
             self._member_by_id[beat.id] = known._replace(
                 beat=beat.beat, version=beat.version
             )
-            self._moved_by_id[beat.id] = self._now()
+            self._advanced_at_by_id[beat.id] = self._now()
         return True
 
     def rows_of(self, ids):
-        """Return the whole rows of ``ids``, as far as they are known."""
+        """Return the full rows of those ``ids`` that are live."""
         known = {row.id: row for row in self.live()}
         return tuple(known[name] for name in ids if name in known)
 
     def expire(self):
-        """Forget the rows that have not moved for long."""
-        limit = self._settings.dead_after_ms * FORGET_FACTOR
+        """Remove the rows that have not advanced for the retention time."""
+        limit = self._settings.dead_after_ms * ROW_RETENTION_FACTOR
         now = self._now()
-        for name, moved in list(self._moved_by_id.items()):
-            if now - moved > limit:
-                del self._moved_by_id[name]
+        for name, advanced_at in list(self._advanced_at_by_id.items()):
+            if now - advanced_at > limit:
+                del self._advanced_at_by_id[name]
                 del self._member_by_id[name]
 
     def all(self):
-        """Return every row kept, the dead ones too, ours first."""
+        """Return all rows, dead ones too, the own row first."""
         return [self.own, *self._member_by_id.values()]
 
     def live(self, program=None, data_centre=None):
-        """Return the rows that moved lately, ours among them."""
+        """Return the live rows, the own row among them."""
         return [
             row
             for row in self.all()
@@ -133,24 +133,24 @@
         ]
 
     def is_live(self, member_id):
-        """Tell whether the member's row moved lately."""
+        """Tell whether the row advanced within ``dead_after_ms``."""
         if member_id == self.own.id:
             return True
-        moved = self._moved_by_id.get(member_id)
-        if moved is None:
+        advanced_at = self._advanced_at_by_id.get(member_id)
+        if advanced_at is None:
             return False
-        return self._now() - moved <= self._settings.dead_after_ms
+        return self._now() - advanced_at <= self._settings.dead_after_ms
 
     def message_rows(self):
         """Return the rows for a peer.
 
-        These are all of this program in this data centre, the
-        representatives of this program elsewhere, and of the other
-        programs one in each data centre: nobody needs more of them.
+        These are all rows of this program in this data centre, the
+        representatives of this program elsewhere, and one row for each other
+        program and data centre, which is enough to reach it.
         """
         own = self.own
-        home = self.live(own.program, own.data_centre)
-        away = [
+        local = self.live(own.program, own.data_centre)
+        remote = [
             row
             for row in self.representatives(own.program)
             if row.data_centre != own.data_centre
@@ -160,7 +160,7 @@
             for row in reversed(self.representatives())
             if row.program != own.program
         }
-        return (*home, *away, *others.values())
+        return (*local, *remote, *others.values())
 
     def representatives(self, program=None):
         """Return the live rows that every node of the system knows."""
@@ -176,22 +176,24 @@
         return rows
 
     def gossip_peers(self):
-        """Return the control addresses to exchange rows with now."""
-        home = []
-        away = []
+        """Return the control addresses of the peers for this round."""
+        local = []
+        remote = []
         for row in self.live():
             if row.id == self.own.id:
                 continue
             near = row.data_centre == self.own.data_centre
             same = row.program == self.own.program
-            (home if near and same else away).append(row.control)
-        picked = random.sample(home, 1) if home else []
-        if away and (not home or random.randrange(FOREIGN_SHARE) == 0):
-            picked.append(random.choice(away))
+            (local if near and same else remote).append(row.control)
+        picked = random.sample(local, 1) if local else []
+        if remote and (
+            not local or random.randrange(ROUNDS_PER_REMOTE_EXCHANGE) == 0
+        ):
+            picked.append(random.choice(remote))
         return picked
 
     def urgent_peers(self, limit):
-        """Return some addresses for news that should not wait."""
+        """Return up to ``limit`` control addresses for urgent updates."""
         rows = [row for row in self.live() if row.id != self.own.id]
         own = self.own
         random.shuffle(rows)
@@ -200,14 +202,14 @@
         return [row.control for row in rows[:limit]]
 
     def tailers(self):
-        """Return the members of this data centre that read the log."""
-        home = [
+        """Return the members of this data centre that read the log itself."""
+        local = [
             row
             for row in self.live(data_centre=self.own.data_centre)
             if row.state == "live"
         ]
-        home.sort(key=lambda row: _rank(row.id))
-        return home[: self._settings.tailers]
+        local.sort(key=lambda row: _rank(row.id))
+        return local[: self._settings.tailers]
 
     def is_tailer(self):
         """Tell whether this process reads the log itself."""
@@ -221,16 +223,16 @@
         return [row.control for row in rows]
 
     def _merge_own(self, row):
-        # A row of ours from another boot is what an earlier process with
-        # our id left behind.  Unless we go above it, peers keep believing
-        # the old row and judge this process dead.
+        # A row with the own id and another boot is from an earlier process.
+        # Without a higher incarnation peers would keep that row and judge
+        # this process dead.
         if row.boot == self.own.boot:
             return
         if row.incarnation >= self.own.incarnation:
             self.own = self.own._replace(incarnation=row.incarnation + 1)
 
 
-def _age(row):
+def _row_version(row):
     return (row.incarnation, row.beat)
 
 
@@ -241,7 +243,7 @@
 def rendezvous(key, ids):
     """Return ``ids`` in the order of preference for ``key``.
 
-    Every process that knows the same ids finds the same order, and a
-    missing id only moves the keys that preferred it.
+    Every process that knows the same ids computes the same order, and
+    removing an id moves only the keys that preferred it.
     """
     return sorted(ids, key=lambda name: _rank(f"{key}|{name}"))
--- a/clementinewall/membership/wire.py
+++ b/clementinewall/membership/wire.py
@@ -1,9 +1,9 @@
 """The datagrams of the membership protocol.
 
-HTTP costs a process about a hundred times what a datagram costs, measured
-in docs/CAPACITY.md, and membership is what every node does all the time.  A
-datagram is JSON behind a keyed digest; it stays under the size that passes
-most networks unfragmented.  Rows that a peer knows travel as beats only.
+An HTTP exchange costs a process about a hundred times as much as a datagram
+(see docs/CAPACITY.md), and every node gossips continuously.  A datagram is
+JSON after a keyed digest; it stays below the size that passes most networks
+unfragmented.  Rows that a peer already knows are sent as heartbeats only.
 """
 
 import hashlib
@@ -15,7 +15,7 @@
 from clementinewall import errors
 from clementinewall.membership import members
 
-MAX_BYTES = 1_350
+MAX_DATAGRAM_BYTES = 1_350
 TAG_BYTES = 16
 HELLO = "hello"
 REPLY = "reply"
@@ -23,7 +23,7 @@
 
 
 class Heartbeat(typing.NamedTuple):
-    """What moves in a known member's row."""
+    """The fields that advance in the row of a known member."""
 
     id: str
     incarnation: int
@@ -40,12 +40,12 @@
     rows: tuple[members.Member, ...] = ()
     marks: tuple[members.Crash, ...] = ()
     want: tuple[str, ...] = ()
-    # Lists instead of maps: they are most of the bytes and of the work.
+    # Lists instead of maps: heartbeats are most of the bytes and of the work.
     beats: tuple[typing.Any, ...] = ()
 
 
 class Codec:
-    """Encodes and checks datagrams under the control token."""
+    """Encodes datagrams, and authenticates them by the control token."""
 
     def __init__(self, token):
         """Derive the key from the token."""
@@ -64,20 +64,22 @@
     def decode(self, raw):
         """Return the datagram in ``raw``.
 
-        :raises Unauthorized: it was not made with the token.
+        :raises Unauthorized: its tag was not made with the token.
         :raises BadRecord: it does not have the shape of a datagram.
         """
         tag, body = raw[:TAG_BYTES], raw[TAG_BYTES:]
         if not hmac.compare_digest(tag, self._tag(body)):
-            raise errors.Unauthorized("a datagram has a wrong tag")
+            raise errors.Unauthorized(
+                "datagram tag does not match the control token"
+            )
         try:
             data = json.loads(body)
         except (ValueError, RecursionError) as exc:
-            raise errors.BadRecord(f"not JSON: {exc}") from exc
+            raise errors.BadRecord(f"datagram is not JSON: {exc}") from exc
         datagram, mistakes = _schema.build(Datagram, data)
         if mistakes:
             raise errors.BadRecord(str(mistakes[0]))
-        beats = tuple(_beat(row) for row in datagram.beats)
+        beats = tuple(_heartbeat(row) for row in datagram.beats)
         return datagram._replace(beats=beats)
 
     def _tag(self, body):
@@ -85,7 +87,7 @@
         return made.digest()
 
 
-def _beat(row):
+def _heartbeat(row):
     if (
         isinstance(row, list)
         and len(row) == 4
@@ -93,17 +95,19 @@
         and all(type(part) is int for part in row[1:])
     ):
         return Heartbeat(*row)
-    raise errors.BadRecord("a beat has the wrong shape")
+    raise errors.BadRecord(
+        "heartbeat is not a list of id, incarnation, beat and version"
+    )
 
 
 def split(datagram, codec):
-    """Return the bytes of ``datagram`` cut into as many as it needs.
+    """Return the bytes of ``datagram`` split to fit the size limit.
 
-    The first part carries whatever else there is; a part that is too large
-    is halved.  A single row always fits.
+    A part that is too large is split in halves, field by field; its other
+    fields stay in the first half.  A single row always fits.
     """
     raw = codec.encode(datagram)
-    if len(raw) <= MAX_BYTES:
+    if len(raw) <= MAX_DATAGRAM_BYTES:
         return [raw]
     for name in ("beats", "rows", "marks", "want"):
         rows = getattr(datagram, name)
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -1,4 +1,4 @@
-"""The table of members: what a node keeps, sends and asks stays bounded."""
+"""The membership table: bounded messages, peers and log readers."""
 
 import unittest
 
@@ -26,12 +26,12 @@
     )
 
 
-def table(home, data_centres, in_each):
-    """Return a table with so many members at home and elsewhere."""
+def table(local, data_centres, in_each):
+    """Return a table of own and other data centres' members."""
     now = clock.ManualClock()
     made = members.Members(row(0, "home"), LIMITS, now.now)
     for program in ("entry", "steward"):
-        for number in range(1, home):
+        for number in range(1, local):
             made.merge_row(row(number, "home", program))
         for place in range(data_centres):
             for number in range(in_each):
@@ -40,10 +40,10 @@
 
 
 class BoundsTest(unittest.TestCase):
-    """Nothing grows with the nodes outside the own data centre."""
+    """Costs do not grow with the nodes of other data centres."""
 
     def test_messages_do_not_grow_with_other_data_centres(self):
-        """Nine data centres of 10 or of 100 instances make no difference."""
+        """Nine data centres of 10 or 100 instances cost the same."""
         few, _ = table(35, 9, 10)
         many, _ = table(35, 9, 100)
         self.assertEqual(len(few.message_rows()), len(many.message_rows()))
@@ -51,18 +51,22 @@
         self.assertLessEqual(len(many.message_rows()), limit)
 
     def test_peers_of_a_round_are_two_at_most(self):
-        """However many members there are."""
+        """The limit holds in a table with hundreds of members."""
         many, _ = table(35, 9, 100)
         for _ in range(50):
             self.assertLessEqual(len(many.gossip_peers()), 2)
 
     def test_readers_of_the_log_do_not_grow(self):
-        """Only a few of a data centre read the log itself."""
+        """Only a few members of a data centre read the log itself."""
         many, _ = table(100, 0, 0)
         self.assertEqual(LIMITS.tailers, len(many.tailers()))
 
-    def test_homes_of_bookings_are_known_to_all(self):
-        """The representatives are the same seen from any data centre."""
+    def test_all_data_centres_agree_on_representatives(self):
+        """Nodes would look for the owner of a booking at different entries.
+
+        Owners are picked from the representatives, so that every data centre
+        must compute the same ones.
+        """
         seen = set()
         for own in ("dc0", "dc1"):
             now = clock.ManualClock()
@@ -76,27 +80,28 @@
 
 
 class LivenessTest(unittest.TestCase):
-    """Who counts as alive."""
+    """Which members count as live."""
 
-    def test_a_row_that_stands_still_dies(self):
-        """A process is killed; its peers keep telling its last row."""
+    def test_a_row_that_does_not_advance_is_dead(self):
+        """A killed process could look alive: peers resend its last row."""
         made, now = table(3, 0, 0)
         now.advance(LIMITS.dead_after_ms + 1)
         dead = row(1, "home")
         self.assertFalse(made.merge_row(dead))
         self.assertFalse(made.is_live(dead.id))
 
-    def test_a_beat_keeps_it_alive(self):
-        """The same with the process still there."""
+    def test_a_newer_heartbeat_keeps_a_row_live(self):
+        """A running process must not look dead: its heartbeat advances."""
         made, now = table(3, 0, 0)
         now.advance(LIMITS.dead_after_ms + 1)
         made.merge_row(row(1, "home", beat=1))
         self.assertTrue(made.is_live(row(1, "home").id))
 
-    def test_a_restarted_process_goes_above_its_old_row(self):
-        """Peers still tell the row of the process that had our id before.
+    def test_a_restarted_process_raises_its_incarnation(self):
+        """A restarted process could be ignored as outdated and judged dead.
 
-        Without going above it, they would take the new one for old news.
+        Peers still send the row of the earlier process with the same id, so
+        that the new row needs a higher incarnation.
         """
         now = clock.ManualClock()
         own = row(0, "home")
@@ -104,8 +109,8 @@
         made.merge_row(own._replace(boot="earlier", incarnation=4, beat=99))
         self.assertEqual(5, made.own.incarnation)
 
-    def test_a_leaving_member_is_no_home_and_no_tailer(self):
-        """An instance that leaves gets no new duties."""
+    def test_a_draining_member_is_no_representative_and_no_tailer(self):
+        """A draining instance gets no new duties."""
         made, _ = table(3, 0, 0)
         made.merge_row(row(1, "home", beat=1, state="leaving"))
         names = [r.id for r in made.representatives("entry")]
@@ -114,7 +119,7 @@
 
     @hypothesis.given(st.sets(st.text(max_size=6), min_size=2, max_size=12))
     def test_a_lost_id_moves_only_its_own_keys(self, ids):
-        """Rendezvous order: the others keep their places."""
+        """The other ids keep their places in the rendezvous order."""
         order = members.rendezvous("key", ids)
         left = members.rendezvous("key", ids - {order[0]})
         self.assertEqual(order[1:], left)
--- a/tests/membership/test_wire.py
+++ b/tests/membership/test_wire.py
@@ -1,4 +1,4 @@
-"""The membership datagrams, and every other decoder, on any bytes."""
+"""Membership datagrams, and all decoders on arbitrary input."""
 
 import json
 import unittest
@@ -48,30 +48,30 @@
     """Datagrams of the membership protocol."""
 
     @hypothesis.given(BEATS)
-    def test_what_is_split_arrives_whole(self, beats):
-        """Every beat is in some part, and each part fits a datagram."""
+    def test_split_datagrams_carry_every_heartbeat(self, beats):
+        """No heartbeat is lost, and every part fits into a datagram."""
         datagram = wire.Datagram(wire.HELLO, "a", 7, beats=tuple(beats))
         parts = wire.split(datagram, CODEC)
         found = [b for raw in parts for b in CODEC.decode(raw).beats]
         self.assertEqual([tuple(b) for b in beats], [tuple(b) for b in found])
         if len(parts) > 1:
-            self.assertLessEqual(max(map(len, parts)), wire.MAX_BYTES)
+            self.assertLessEqual(max(map(len, parts)), wire.MAX_DATAGRAM_BYTES)
 
     @hypothesis.given(st.binary(max_size=300))
     def test_foreign_bytes_are_refused(self, raw):
-        """A stranger's datagram is refused and ends nothing."""
+        """Bytes without a valid tag raise Unauthorized, nothing else."""
         with self.assertRaises(errors.Unauthorized):
             CODEC.decode(raw)
 
     def test_another_token_is_refused(self):
-        """A process of another deployment talks to this one."""
+        """A process of another deployment sends to this one."""
         raw = wire.Codec("other").encode(wire.Datagram(wire.HELLO, "a"))
         with self.assertRaises(errors.Unauthorized):
             CODEC.decode(raw)
 
     @hypothesis.given(JSON)
-    def test_signed_nonsense_is_a_clear_error(self, data):
-        """A peer of another version sends what this one can't read."""
+    def test_unexpected_content_with_a_valid_tag_is_a_bad_record(self, data):
+        """A peer of another version sends content unknown to this one."""
         body = json.dumps(data).encode()
         raw = CODEC._tag(body) + body
         try:
@@ -81,11 +81,11 @@
 
 
 class DecodersTest(unittest.TestCase):
-    """No input ends a process: a typed value or a typed error."""
+    """Any input gives a typed value or a typed error, no crash."""
 
     @hypothesis.given(JSON)
     def test_records(self, data):
-        """Records that nobody can read change nothing."""
+        """Unreadable records only advance the offset."""
         state = control.State()
         state.begin(0)
         state.apply(0, data)
@@ -96,7 +96,7 @@
 
     @hypothesis.given(JSON)
     def test_batches_and_reports(self, data):
-        """Answers of the log, a peer or an engine are checked whole."""
+        """Answers of the log, a peer or an engine are checked in full."""
         for decode in (client.decode_batch, reports.decode):
             try:
                 decode(data)
@@ -105,7 +105,7 @@
 
     @hypothesis.given(st.binary(max_size=200))
     def test_bodies(self, raw):
-        """A body is a JSON object or a bad request."""
+        """A request body is a JSON object or a BadRequest."""
         try:
             self.assertIsInstance(_web.decode_object(raw), dict)
         except errors.BadRequest:
@@ -113,7 +113,7 @@
 
     @hypothesis.given(JSON)
     def test_problems(self, data):
-        """A peer's problem document is an error or nothing."""
+        """A peer's problem document gives an error or ``None``."""
         raw = json.dumps(data).encode()
         found = _web.error_of_problem(raw)
         self.assertTrue(
@@ -122,7 +122,7 @@
 
     @hypothesis.given(JSON)
     def test_shapes_round_trip(self, data):
-        """What is built and made plain again is built the same."""
+        """A value turned into plain data and built again is equal."""
         value, mistakes = _schema.build(members.Crash, data)
         if not mistakes:
             again = _schema.build(members.Crash, _schema.plain(value))
@@ -130,13 +130,13 @@
 
 
 class EventsTest(unittest.TestCase):
-    """Server-sent events, cut into any pieces."""
+    """Server-sent events, split at arbitrary places."""
 
     @hypothesis.given(
         st.integers(1, 20), st.lists(st.integers(1, 40), max_size=30)
     )
-    def test_pieces_make_no_difference(self, count, cuts):
-        """The network cuts a stream anywhere."""
+    def test_events_do_not_depend_on_chunk_boundaries(self, count, cuts):
+        """The network may split a stream anywhere."""
         raw = b"".join(b"id: %d\ndata: {}\n\n" % n for n in range(1, count))
         splitter = sse.Splitter()
         found = []
@@ -150,7 +150,7 @@
 
     @hypothesis.given(st.lists(st.integers(1, 12), max_size=60))
     def test_each_position_passes_once_and_in_order(self, positions):
-        """Positions come late, doubled and out of order."""
+        """Positions may come late, repeated and out of order."""
         sequence = sse.Sequence()
         passed = []
         for position in positions:
@@ -164,9 +164,10 @@
 
     @hypothesis.given(st.lists(st.integers(0, 20), max_size=20))
     def test_late_copies_do_not_end_a_stream(self, late):
-        """An engine repeats old positions between the new ones.
+        """A stream could be cut for no reason and moved to another engine.
 
-        Taken for a gap, they would cost the caller another engine's time.
+        An engine repeats old positions between new ones, which must not
+        count as a gap.
         """
         sequence = sse.Sequence()
         for position in range(1, len(late) + 1):
@@ -175,8 +176,8 @@
             self.assertFalse(sequence.accept(old))
 
     @hypothesis.given(st.lists(st.binary(max_size=60), max_size=10))
-    def test_any_bytes(self, pieces):
-        """An engine sends what is no event stream at all."""
+    def test_splitter_accepts_any_bytes(self, pieces):
+        """An engine may send bytes that are no event stream."""
         splitter = sse.Splitter()
         for piece in pieces:
             for event in splitter.feed(piece):
