--- a/clementinewall/gateway/caches.py
+++ b/clementinewall/gateway/cache_sync.py
@@ -25,22 +25,22 @@
 _log = logs.PartLog("cache")
 
 # How often a gateway that starts looks whether it knows enough to ask.
-START_MS = 20
+START_POLL_INTERVAL_MS = 20
 # How often engines are looked for that weren't asked yet, and how often the
 # caches that this gateway follows are asked for their changes.
-LOOK_MS = 250
-FOLLOW_MS = 500
+SCAN_INTERVAL_MS = 250
+POLL_INTERVAL_MS = 500
 # How long an engine may wait for a change before it answers that there is
 # none, and how long its answer is awaited.
-WAIT_MS = 250
-TIMEOUT_MS = 750
+CHANGE_WAIT_MS = 250
+ANSWER_TIMEOUT_MS = 750
 # An engine that doesn't tell its cache, or not in time, is asked again after
 # a pause; one that doesn't offer it isn't.
-PAUSE_MS = 3_000
-NOT_OFFERED = (404, 405, 501)
+RETRY_DELAY_MS = 3_000
+UNSUPPORTED_STATUSES = (404, 405, 501)
 
 
-class _NotOffered(errors.BadRecord):
+class _Unsupported(errors.BadRecord):
     """The engine has no such call."""
 
 
@@ -54,18 +54,25 @@
         self.is_asking = False
 
 
-class Caches:
+class CacheSync:
     """Asks engines for what they keep, and follows some of them."""
 
     def __init__(
-        self, settings, beliefs, endpoints, peers, membership, group, now
+        self,
+        settings,
+        fleet_view,
+        endpoints,
+        peers,
+        cell_membership,
+        group,
+        now,
     ):
         """Use the gateway's parts; ``group`` runs the questions."""
         self._ip = settings.ip
-        self._beliefs = beliefs
+        self._fleet_view = fleet_view
         self._endpoints = endpoints
         self._peers = peers
-        self._membership = membership
+        self._cell_membership = cell_membership
         self._group = group
         self._now = now
         self._cursor_by_life = {}
@@ -74,12 +81,12 @@
         """Ask until cancelled."""
         # Before the other gateways are known all engines seem to be of the
         # own cell.
-        while not (self._beliefs.is_ready and self._peers.table.is_whole):
-            await anyio.sleep(clock.seconds(START_MS))
-        self._membership.update(self._peers.table.members())
+        while not (self._fleet_view.is_ready and self._peers.table.is_whole):
+            await anyio.sleep(clock.seconds(START_POLL_INTERVAL_MS))
+        self._cell_membership.update(self._peers.table.members())
         while True:
             self._look()
-            await anyio.sleep(clock.seconds(LOOK_MS))
+            await anyio.sleep(clock.seconds(SCAN_INTERVAL_MS))
 
     def _look(self):
         """Begin the questions that are due."""
@@ -97,19 +104,21 @@
         self._cursor_by_life = cursor_by_life
 
     def _engines(self):
-        configuration = self._beliefs.configuration
+        configuration = self._fleet_view.configuration
         for service in configuration.service_by_name.values():
             if service.engine is None:
                 continue
             states = self._endpoints.of_service(service.name)
-            for state in self._membership.own_engines(states):
+            for state in self._cell_membership.cell_engines(states):
                 if endpoints_module.is_engine(state):
                     yield state
 
     def _followers(self):
         """Return the gateways that share this one's engines."""
         heard = [sign.ip for sign in self._peers.table.live() if sign.ready]
-        close = [ip for ip in heard if self._membership.is_close(ip)]
+        close = [
+            ip for ip in heard if self._cell_membership.is_cell_gateway(ip)
+        ]
         return {self._ip, *close}
 
     def _follows(self, state, followers):
@@ -117,16 +126,16 @@
 
     async def _ask(self, state, cursor):
         """Ask for what changed, or for everything where that isn't known."""
-        cursor.due_at = self._now() + FOLLOW_MS
+        cursor.due_at = self._now() + POLL_INTERVAL_MS
         try:
-            with anyio.fail_after(clock.seconds(TIMEOUT_MS)):
+            with anyio.fail_after(clock.seconds(ANSWER_TIMEOUT_MS)):
                 if cursor.next is None:
                     await self._learn_whole(state, cursor)
                 else:
                     await self._learn_changes(state, cursor)
         except (client.LinkBroken, TimeoutError, errors.BadRecord) as exc:
-            cursor.due_at = self._now() + PAUSE_MS
-            if isinstance(exc, _NotOffered):
+            cursor.due_at = self._now() + RETRY_DELAY_MS
+            if isinstance(exc, _Unsupported):
                 cursor.due_at = math.inf
             _log.info(
                 "cache not told",
@@ -157,7 +166,7 @@
 
     async def _learn_changes(self, state, cursor):
         body = await self._body(
-            state, calls.cache_changes(cursor.next, WAIT_MS)
+            state, calls.cache_changes(cursor.next, CHANGE_WAIT_MS)
         )
         changes = calls.decode_cache_changes(body)
         if changes.epoch != cursor.epoch or changes.is_gap:
@@ -170,8 +179,8 @@
     async def _body(self, state, request):
         head, body = await state.pool.ask(request, sending.ANSWER_LIMIT)
         metrics.count("cache_calls", status=head.status)
-        if head.status in NOT_OFFERED:
-            raise _NotOffered(f"answered with {head.status}")
+        if head.status in UNSUPPORTED_STATUSES:
+            raise _Unsupported(f"answered with {head.status}")
         if head.status != 200:
             raise errors.BadRecord(f"answered with {head.status}")
         return body
--- a/clementinewall/gateway/callers.py
+++ b/clementinewall/gateway/callers.py
@@ -23,14 +23,16 @@
 class Callers:
     """Serves the callers' connections of this gateway."""
 
-    def __init__(self, beliefs, budgets, guard, plain, streams, drain, now):
+    def __init__(
+        self, fleet_view, budgets, crash_guard, plain, streams, drain, now
+    ):
         """Hand requests to the relays for plain and for model work.
 
         ``drain`` knows what can be finished once the process has to stop.
         """
-        self._beliefs = beliefs
+        self._fleet_view = fleet_view
         self._budgets = budgets
-        self._guard = guard
+        self._crash_guard = crash_guard
         self._plain = plain
         self._streams = streams
         self._now = now
@@ -67,8 +69,8 @@
     async def serve(self, stream):
         """Serve one connection until its end."""
         limits = server.Limits()
-        if self._beliefs.configuration is not None:
-            limits = self._beliefs.configuration.limits
+        if self._fleet_view.configuration is not None:
+            limits = self._fleet_view.configuration.limits
         connection = server.Connection(stream, limits)
         self._connections.add(connection)
         if self._drain.is_on:
@@ -140,7 +142,7 @@
             await self._fail(connection, request, exchange, error)
 
     def _exchange(self, connection, call):
-        configuration = self._beliefs.configuration
+        configuration = self._fleet_view.configuration
         if configuration is None:
             raise errors.NotReady("no configuration is known yet")
         route = configuration.route_for(call.host, call.path)
@@ -150,7 +152,7 @@
         if service is None:
             raise errors.NoEndpoint(f"route {route.name} has no service")
         self._budgets.count_request(service)
-        self._guard.check(call)
+        self._crash_guard.check(call)
         exchange = exchanges.Exchange(
             connection, call, route, service, self._now
         )
--- a/clementinewall/gateway/membership.py
+++ b/clementinewall/gateway/cell_membership.py
@@ -7,13 +7,13 @@
 _log = logs.PartLog("cell")
 
 
-class Membership:
+class CellMembership:
     """Keeps the cell of this gateway current."""
 
-    def __init__(self, settings, beliefs):
+    def __init__(self, settings, fleet_view):
         """Begin alone."""
         self._ip = settings.ip
-        self._beliefs = beliefs
+        self._fleet_view = fleet_view
         self._cell = cells.Cell(frozenset((self._ip,)), frozenset())
         self._dealt = None
 
@@ -21,7 +21,7 @@
         """Deal anew among the gateways that were heard lately."""
         engines = [
             cells.Engine(endpoint.id, endpoint.service, endpoint.stage)
-            for endpoint in self._beliefs.endpoint_by_id.values()
+            for endpoint in self._fleet_view.endpoint_by_id.values()
             if endpoint.stage in domain.STAGES and not endpoint.leaving
         ]
         dealt = frozenset(live_ips), frozenset(engines)
@@ -40,17 +40,17 @@
             of_engines=len(engines),
         )
 
-    def is_close(self, ip):
+    def is_cell_gateway(self, ip):
         """Tell whether a gateway shares this one's engines."""
         return ip in self._cell.gateways
 
-    def is_own(self, state):
+    def is_cell_engine(self, state):
         """Tell whether an engine belongs to this gateway's cell."""
         return state.endpoint.id in self._cell.engines
 
-    def own_engines(self, states):
+    def cell_engines(self, states):
         """Return those of the cell, or all where it has none."""
-        own = [s for s in states if self.is_own(s)]
+        own = [s for s in states if self.is_cell_engine(s)]
         return own if _has_decoder(own) else states
 
 
--- a/clementinewall/gateway/guard.py
+++ b/clementinewall/gateway/crash_guard.py
@@ -21,7 +21,7 @@
 STATUS = 502
 
 
-class Guard:
+class CrashGuard:
     """The marks of requests under which endpoints went down."""
 
     def __init__(self, now):
@@ -38,11 +38,11 @@
             error.status = STATUS
             raise error
 
-    def note_answer(self, call):
+    def record_answer(self, call):
         """Note that a request was answered, so that it crashes nothing."""
         self._table.clear(_digest(call))
 
-    def note_failure(self, call, state, failure, before_first):
+    def record_failure(self, call, state, failure, before_first):
         """Mark a request whose connection broke while it may have run."""
         if failure.answer is not None or not failure.broken:
             return
--- a/clementinewall/gateway/endpoints.py
+++ b/clementinewall/gateway/endpoints.py
@@ -1,8 +1,8 @@
 """The endpoints as this gateway uses them: connections, work, caches."""
 
 from clementinewall import domain
-from clementinewall.gateway import cache
-from clementinewall.gateway import keepers
+from clementinewall.gateway import cache_holders
+from clementinewall.gateway import cache_view
 from clementinewall.gateway import peer_messages
 from clementinewall.http1 import client
 from clementinewall import logs
@@ -37,7 +37,7 @@
         self.load_at = None
         # Until when the engine changes its stage and takes no work.
         self.away_until = 0
-        self.cache = cache.Cache()
+        self.cache = cache_view.CacheView()
 
     def begin(self):
         """Count a request that is sent now."""
@@ -100,15 +100,15 @@
 class Endpoints:
     """All endpoints, by id."""
 
-    def __init__(self, beliefs, now):
+    def __init__(self, fleet_view, now):
         """Use what the beliefs say."""
-        self._beliefs = beliefs
+        self._fleet_view = fleet_view
         self._now = now
         self._state_by_life = {}
         self._read = []
-        self._changes = cache.Changes()
+        self._changes = cache_view.UnsentChanges()
         self.scales = reading_scale.Scales()
-        self.keepers = keepers.Keepers(now)
+        self.cache_holders = cache_holders.CacheHolders(now)
 
     def state(self, endpoint):
         """Return the state of this life of an endpoint."""
@@ -126,20 +126,20 @@
         """Return the states of the endpoints that take new work."""
         return [
             self.state(endpoint)
-            for endpoint in self._beliefs.endpoint_by_id.values()
+            for endpoint in self._fleet_view.endpoint_by_id.values()
             if endpoint.service == service and not endpoint.leaving
         ]
 
     def find(self, endpoint_id):
         """Return the state of an endpoint that takes new work, or ``None``."""
-        endpoint = self._beliefs.endpoint_by_id.get(endpoint_id)
+        endpoint = self._fleet_view.endpoint_by_id.get(endpoint_id)
         if endpoint is None or endpoint.leaving:
             return None
         return self.state(endpoint)
 
     def is_current(self, state):
         """Tell whether the endpoint still takes new work."""
-        known = self._beliefs.endpoint_by_id.get(state.endpoint.id)
+        known = self._fleet_view.endpoint_by_id.get(state.endpoint.id)
         return (
             known is not None
             and known.life == state.endpoint.life
@@ -148,11 +148,11 @@
 
     def learn_read(self, endpoint_id, parts):
         """Note prompts that another gateway had read."""
-        endpoint = self._beliefs.endpoint_by_id.get(endpoint_id)
+        endpoint = self._fleet_view.endpoint_by_id.get(endpoint_id)
         if endpoint is not None:
             self.state(endpoint).cache.use(parts, self._capacity(endpoint))
-            self._changes.note_shared(parts)
-            self.keepers.hear(endpoint_id, parts)
+            self._changes.record_shared(parts)
+            self.cache_holders.record_peer(endpoint_id, parts)
 
     def learn_kept(self, state, parts):
         """Note parts that an engine says it keeps."""
@@ -166,16 +166,16 @@
         """
         dropped = state.cache.part_ids - {part.id for part in parts}
         for part_id in dropped:
-            change = cache.Change(state.endpoint.id, part_id, 0)
+            change = cache_view.Change(state.endpoint.id, part_id, 0)
             self._changes.take(state.cache, change)
         self.learn_kept(state, parts)
         return len(dropped)
 
     def follow_cache(self, state, parts):
         """Note changes that an engine tells of its cache, oldest first."""
-        tokens_by_part = {part.id: part.tokens for part in parts}
-        for part_id, tokens in tokens_by_part.items():
-            change = cache.Change(state.endpoint.id, part_id, tokens)
+        tokens_by_part_id = {part.id: part.tokens for part in parts}
+        for part_id, tokens in tokens_by_part_id.items():
+            change = cache_view.Change(state.endpoint.id, part_id, tokens)
             self._changes.take(state.cache, change)
 
     def learn_changed(self, rows):
@@ -198,9 +198,9 @@
         state.cache.use(parts, self._capacity(state.endpoint))
         # The last part belongs to this request alone.
         shared = parts[:-1]
-        self._changes.note_shared(shared)
+        self._changes.record_shared(shared)
         self._read.append((state.endpoint.id, shared))
-        self.keepers.note(state.endpoint.id, shared)
+        self.cache_holders.record(state.endpoint.id, shared)
 
     def note_fetched(self, state, prompt):
         """Note that an engine fetched the memory of a prompt and keeps it."""
@@ -209,7 +209,7 @@
         self._read.append((state.endpoint.id, parts[:-1]))
 
     def _capacity(self, endpoint):
-        configuration = self._beliefs.configuration
+        configuration = self._fleet_view.configuration
         service = configuration and configuration.service_by_name.get(
             endpoint.service
         )
@@ -228,7 +228,7 @@
 
     def learn_away(self, endpoint_id, ms):
         """Note that an engine changes its stage."""
-        endpoint = self._beliefs.endpoint_by_id.get(endpoint_id)
+        endpoint = self._fleet_view.endpoint_by_id.get(endpoint_id)
         if endpoint is not None:
             self.state(endpoint).away_until = self._now() + ms
 
@@ -250,7 +250,8 @@
     def sweep(self):
         """Close what is left of endpoints that are gone, and old links."""
         current = {
-            endpoint.life for endpoint in self._beliefs.endpoint_by_id.values()
+            endpoint.life
+            for endpoint in self._fleet_view.endpoint_by_id.values()
         }
         for life, state in list(self._state_by_life.items()):
             if life in current:
--- a/clementinewall/gateway/beliefs.py
+++ b/clementinewall/gateway/fleet_view.py
@@ -18,10 +18,10 @@
 LAPSE_GRACE_MS = 2_000
 # A gap between two reads from which on records may have lapsed meanwhile.
 # Endpoints write about every 1,200 ms and lapse after three such spans.
-OUTAGE_MS = 1_500
+MIN_OUTAGE_MS = 1_500
 
 
-class Beliefs:
+class FleetView:
     """The configuration in force and the endpoints, with their offsets."""
 
     def __init__(self, now):
@@ -42,7 +42,7 @@
         """Tell whether requests can be served by what is known."""
         return self.configuration is not None and self.fleet_known
 
-    def take_configuration(self, record):
+    def apply_configuration(self, record):
         """Take in a record of the operators' topic; return if it is new."""
         if record.key != records.CONFIGURATION_KEY or record.value is None:
             return False
@@ -76,7 +76,7 @@
         )
         return True
 
-    def take_endpoint(self, record):
+    def apply_endpoint(self, record):
         """Take in a record of the endpoints' topic.
 
         Return whether others, who know all that came before it, have to be
@@ -129,7 +129,7 @@
             )
         return is_news
 
-    def take_whole_fleet(self, batch):
+    def apply_fleet_snapshot(self, batch):
         """Take in the newest record of each endpoint.
 
         An endpoint that isn't among them has left: its records, and that of
@@ -137,7 +137,7 @@
         """
         listed = {record.key for record in batch.records}
         for record in batch.records:
-            self.take_endpoint(record)
+            self.apply_endpoint(record)
         for name in list(self.endpoint_by_id):
             if name not in listed:
                 self._removed(name, batch.end)
@@ -163,9 +163,9 @@
         if self.endpoint_by_id.pop(name, None) is not None:
             _log.info(f"endpoint {why}", endpoint=name, offset=offset)
 
-    def store_returned(self, away_ms):
+    def record_store_recovery(self, away_ms):
         """Note that reading works again after ``away_ms`` without."""
-        if away_ms >= OUTAGE_MS:
+        if away_ms >= MIN_OUTAGE_MS:
             self._grace_until = self._now() + LAPSE_GRACE_MS
 
     def expire(self):
--- a/clementinewall/gateway/following.py
+++ b/clementinewall/gateway/following.py
@@ -10,7 +10,7 @@
 
 from clementinewall import clock
 from clementinewall import errors
-from clementinewall.gateway import news as news_module
+from clementinewall.gateway import topic_updates
 from clementinewall import logs
 from clementinewall import metrics
 from clementinewall.platform import records
@@ -57,7 +57,7 @@
         self._next = None
         self._known_at = None
         self._failing_since = None
-        self._journal = news_module.Journal(topic)
+        self._recent_reads = topic_updates.RecentReads(topic)
         self._told = anyio.Event()
         self._is_reader = True
         self._peers = None
@@ -67,7 +67,7 @@
     def share(self, peers):
         """Take turns in reading with ``peers``, and tell them the news."""
         self._peers = peers
-        peers.on_news(self._topic, self.take_news)
+        peers.on_update(self._topic, self.apply_update)
 
     async def run(self):
         """Follow until cancelled."""
@@ -109,7 +109,7 @@
         if self._next is None:
             batch = await self._store.newest(self._topic)
             self._worked()
-            self._journal.forget()
+            self._recent_reads.forget()
             self._take_all(batch)
             self._next = batch.end
             return
@@ -127,28 +127,28 @@
         changed = [record for record in fresh if self._take(record)]
         self._next = batch.end
         if self._peers is not None:
-            news = self._journal.add(start, batch.end, changed, away_ms)
-            self._peers.tell_news(news)
+            update = self._recent_reads.add(start, batch.end, changed, away_ms)
+            self._peers.send_update(update)
 
-    def take_news(self, news):
+    def apply_update(self, update):
         """Take in what another gateway read of this topic."""
-        if self._next is None or news.end < self._next:
+        if self._next is None or update.end < self._next:
             return
-        if news.start > self._next or not news.whole:
-            if news.end > self._next:
+        if update.start > self._next or not update.whole:
+            if update.end > self._next:
                 self._read_soon()
             return
         if self._is_reader:
             _log.info("told by another gateway", topic=self._topic)
         self._is_reader = False
-        missed_ms = min(news.away_ms, self._now() - self._known_at)
+        missed_ms = min(update.away_ms, self._now() - self._known_at)
         if missed_ms and self.on_return is not None:
             self.on_return(missed_ms)
-        for record in news.records:
+        for record in update.records:
             if record.offset >= self._next:
                 self._take(record)
-        self._next = news.end
-        self._journal.forget()
+        self._next = update.end
+        self._recent_reads.forget()
         self._known_at = self._now()
         self._told.set()
 
@@ -182,11 +182,11 @@
         return away_ms
 
 
-def configuration_follower(settings, now, beliefs):
+def configuration_follower(settings, now, fleet_view):
     """Return the task that follows the operators' topic."""
 
     def take(record):
-        beliefs.take_configuration(record)
+        fleet_view.apply_configuration(record)
         return record.key == records.CONFIGURATION_KEY
 
     def take_all(batch):
@@ -208,17 +208,17 @@
     )
 
 
-def fleet_follower(settings, now, beliefs):
+def fleet_follower(settings, now, fleet_view):
     """Return the task that follows the endpoints' topic."""
     follower = Follower(
         settings,
         now,
         records.ENDPOINTS_TOPIC,
-        beliefs.take_whole_fleet,
-        beliefs.take_endpoint,
+        fleet_view.apply_fleet_snapshot,
+        fleet_view.apply_endpoint,
         reading_turns.Pace(0, int(settings.bounds.leaving_ms * FLEET_PART)),
     )
-    follower.on_return = beliefs.store_returned
+    follower.on_return = fleet_view.record_store_recovery
     return follower
 
 
--- a/clementinewall/gateway/peers.py
+++ b/clementinewall/gateway/peers.py
@@ -13,9 +13,9 @@
 from clementinewall import clock
 from clementinewall import errors
 from clementinewall.gateway import datagrams
-from clementinewall.gateway import news as news_module
 from clementinewall.gateway import peer_messages
 from clementinewall.gateway import peer_table
+from clementinewall.gateway import topic_updates
 from clementinewall import logs
 from clementinewall.platform import records
 from clementinewall.platform import store
@@ -50,7 +50,9 @@
 class Peers:
     """Sends and receives; what is heard is in the table."""
 
-    def __init__(self, settings, now, is_ready, endpoints, guard, membership):
+    def __init__(
+        self, settings, now, is_ready, endpoints, crash_guard, cell_membership
+    ):
         """Tell the work at ``endpoints``, who learn from others.
 
         The marks of ``guard`` go with each message, and ``is_ready`` says
@@ -60,8 +62,8 @@
         self._now = now
         self._is_ready = is_ready
         self._endpoints = endpoints
-        self._guard = guard
-        self._membership = membership
+        self._crash_guard = crash_guard
+        self._cell_membership = cell_membership
         self.table = peer_table.PeerTable(settings.ip, now)
         # Whether the store names no earlier process of this instance.
         self.is_first_process = False
@@ -73,7 +75,7 @@
         self._rounds = itertools.count()
         self._wake = anyio.Event()
         self._outbox = collections.deque()
-        self._take_news_by_topic = {}
+        self._apply_update_by_topic = {}
 
     def tell(self):
         """Let the others know soon of what has changed."""
@@ -102,16 +104,16 @@
         ready = [sign.ip for sign in self.table.live() if sign.ready]
         return reading_turns.place(self._settings.ip, ready)
 
-    def tell_news(self, news):
+    def send_update(self, update):
         """Tell the others what was read of the store."""
-        raw = peer_messages.dump({"news": news_module.encode(news)})
-        copies = CHANGE_COPIES if news.records or not news.whole else 1
+        raw = peer_messages.dump({"news": topic_updates.encode(update)})
+        copies = CHANGE_COPIES if update.records or not update.whole else 1
         self._outbox.extend([raw] * copies)
         self._wake.set()
 
-    def on_news(self, topic, take):
+    def on_update(self, topic, take):
         """Hand what others read of a topic to ``take``."""
-        self._take_news_by_topic[topic] = take
+        self._apply_update_by_topic[topic] = take
 
     def take(self, record):
         """Take in a record of the gateways' topic."""
@@ -172,7 +174,11 @@
         return GAP_MS_A_PEER * max(1, len(self._close()))
 
     def _close(self):
-        return [ip for ip in self.table.ips if self._membership.is_close(ip)]
+        return [
+            ip
+            for ip in self.table.ips
+            if self._cell_membership.is_cell_gateway(ip)
+        ]
 
     def _send(self):
         if self._outbox:
@@ -207,7 +213,7 @@
             "state": peer_messages.state(state, now),
             "read": self._endpoints.drain_read(),
             "changed": self._endpoints.drain_changed(),
-            "marks": self._guard.message(),
+            "marks": self._crash_guard.message(),
         }
         raw = peer_messages.dump(message)
         if len(raw) > MAX_BYTES:
@@ -227,8 +233,8 @@
         rows = [peer_messages.sign(sign, now) for sign in own + heard]
         message = {
             "signs": rows,
-            "marks": self._guard.message(),
-            "kept": self._endpoints.keepers.message(FAR_MS * FAR_ROUNDS),
+            "marks": self._crash_guard.message(),
+            "kept": self._endpoints.cache_holders.message(FAR_MS * FAR_ROUNDS),
         }
         raw = peer_messages.dump(message)
         self._datagrams.send(raw, far[turn::FAR_ROUNDS])
@@ -270,12 +276,12 @@
             self._take_state(message, ip, now)
         for row in message.get("signs", ()):
             self.table.take_sign(peer_messages.decode_sign(row, now))
-        self._guard.merge(message.get("marks", ()))
-        self._endpoints.keepers.learn(message.get("kept", ()))
+        self._crash_guard.merge(message.get("marks", ()))
+        self._endpoints.cache_holders.merge(message.get("kept", ()))
         # News decides which endpoints get work, so only gateways are
         # believed, not whoever sends to this port.
         if "news" in message and self.table.is_known(ip):
-            self._take_news(news_module.decode(message["news"]))
+            self._apply_update(topic_updates.decode(message["news"]))
 
     def _take_state(self, message, ip, now):
         state = peer_messages.decode_state(message["state"], now)
@@ -286,7 +292,7 @@
             self._endpoints.learn_away(endpoint_id, ms)
         self.table.take_state(ip, state)
 
-    def _take_news(self, news):
-        take = self._take_news_by_topic.get(news.topic)
+    def _apply_update(self, update):
+        take = self._apply_update_by_topic.get(update.topic)
         if take is not None:
-            take(news)
+            take(update)
--- a/clementinewall/gateway/placing.py
+++ b/clementinewall/gateway/placing.py
@@ -56,12 +56,12 @@
 class Placer:
     """Places requests for models."""
 
-    def __init__(self, settings, endpoints, peers, membership, now):
+    def __init__(self, settings, endpoints, peers, cell_membership, now):
         """Use what is known of the engines and of the peers' work there."""
         self._link_mbps = settings.link_mbps
         self._endpoints = endpoints
         self._peers = peers
-        self._membership = membership
+        self._cell_membership = cell_membership
         self._now = now
         self._probed_at = None
 
@@ -85,7 +85,7 @@
         prompt = exchange.call.prompt or NO_PROMPT
         cached = max(
             (
-                s.cache.leading_tokens(prompt.parts[:-1])
+                s.cache.cached_prefix_tokens(prompt.parts[:-1])
                 for s in states.values()
             ),
             default=0,
@@ -139,7 +139,7 @@
         while those of other cells have room.  Nothing is known of the work
         there, so some are drawn at random.
         """
-        close = self._membership.own_engines(engines)
+        close = self._cell_membership.cell_engines(engines)
         found = list(close)
         for stage in domain.STAGES:
             own = [s for s in close if s.endpoint.stage == stage]
@@ -157,7 +157,7 @@
 
     def _keeper(self, prompt, states):
         """Return an engine outside the cell that keeps the beginning."""
-        keeper = self._endpoints.keepers.find(prompt.parts[:-1])
+        keeper = self._endpoints.cache_holders.find(prompt.parts[:-1])
         if keeper is None or keeper.endpoint_id in states:
             return None
         state = self._endpoints.find(keeper.endpoint_id)
@@ -219,7 +219,7 @@
             wait_ms=waiting,
             streams=streams,
             slots=max(1, endpoint.slots),
-            cached=state.cache.leading_tokens(prompt.parts[:-1]),
+            cached=state.cache.cached_prefix_tokens(prompt.parts[:-1]),
             slowness=state.health.slowness
             if state.is_usable()
             else UNUSABLE_SLOWNESS,
--- a/clementinewall/gateway/plain.py
+++ b/clementinewall/gateway/plain.py
@@ -21,9 +21,9 @@
 class PlainRelay:
     """Carries calls to the endpoints of a service and the answers back."""
 
-    def __init__(self, settings, endpoints, budgets, guard, now):
+    def __init__(self, settings, endpoints, budgets, crash_guard, now):
         """Use the gateway's parts."""
-        self._guard = guard
+        self._crash_guard = crash_guard
         self._settings = settings
         self._endpoints = endpoints
         self._budgets = budgets
@@ -58,7 +58,7 @@
                     break
                 continue
             state.health.worked()
-            self._guard.note_answer(exchange.call)
+            self._crash_guard.record_answer(exchange.call)
             await exchange.connection.answer(calls.forwarded(head), body)
             return
         if last is not None and last.answer is not None:
@@ -134,7 +134,7 @@
         exchange.note(exc)
         if exc.answer is None:
             state.health.failed(self._now(), exc.absent)
-        self._guard.note_failure(exchange.call, state, exc, True)
+        self._crash_guard.record_failure(exchange.call, state, exc, True)
         _log.info(
             "attempt failed",
             request=exchange.call.attempt,
--- a/clementinewall/gateway/program.py
+++ b/clementinewall/gateway/program.py
@@ -5,15 +5,15 @@
 import anyio
 
 from clementinewall import clock
-from clementinewall.gateway import beliefs
 from clementinewall.gateway import budgets
-from clementinewall.gateway import caches
+from clementinewall.gateway import cache_sync
 from clementinewall.gateway import callers
+from clementinewall.gateway import cell_membership
+from clementinewall.gateway import crash_guard
 from clementinewall.gateway import draining
 from clementinewall.gateway import endpoints
+from clementinewall.gateway import fleet_view
 from clementinewall.gateway import following
-from clementinewall.gateway import guard
-from clementinewall.gateway import membership
 from clementinewall.gateway import peers
 from clementinewall.gateway import placing
 from clementinewall.gateway import plain
@@ -52,17 +52,19 @@
         self._now = now
         self._now_with_suspend = ticker.now_with_suspend
         self._group = group
-        self._beliefs = beliefs.Beliefs(now)
-        self._endpoints = endpoints.Endpoints(self._beliefs, now)
-        self._guard = guard.Guard(now)
-        self._membership = membership.Membership(settings, self._beliefs)
+        self._fleet_view = fleet_view.FleetView(now)
+        self._endpoints = endpoints.Endpoints(self._fleet_view, now)
+        self._crash_guard = crash_guard.CrashGuard(now)
+        self._cell_membership = cell_membership.CellMembership(
+            settings, self._fleet_view
+        )
         self._peers = peers.Peers(
             settings,
             now,
             self.is_ready,
             self._endpoints,
-            self._guard,
-            self._membership,
+            self._crash_guard,
+            self._cell_membership,
         )
         # What was earned before the machine was suspended is too old then.
         self._budgets = budgets.Budgets(
@@ -70,41 +72,45 @@
         )
         drain = draining.Drain(ticker)
         self._plain = plain.PlainRelay(
-            settings, self._endpoints, self._budgets, self._guard, now
+            settings, self._endpoints, self._budgets, self._crash_guard, now
         )
         self._streams = streams.StreamRelay(
             self._endpoints,
             placing.Placer(
-                settings, self._endpoints, self._peers, self._membership, now
+                settings,
+                self._endpoints,
+                self._peers,
+                self._cell_membership,
+                now,
             ),
             self._peers.tell_prompt,
             self._budgets,
-            self._guard,
+            self._crash_guard,
             drain,
             group,
             now,
         )
         self._stages = stages.StageKeeper(
             settings,
-            self._beliefs,
+            self._fleet_view,
             self._endpoints,
             self._peers,
             self.is_ready,
             ticker,
         )
-        self._caches = caches.Caches(
+        self._cache_sync = cache_sync.CacheSync(
             settings,
-            self._beliefs,
+            self._fleet_view,
             self._endpoints,
             self._peers,
-            self._membership,
+            self._cell_membership,
             group,
             now,
         )
         self._callers = callers.Callers(
-            self._beliefs,
+            self._fleet_view,
             self._budgets,
-            self._guard,
+            self._crash_guard,
             self._plain,
             self._streams,
             drain,
@@ -114,7 +120,7 @@
 
     def is_ready(self):
         """Tell whether callers should come here."""
-        return self._beliefs.is_ready and not self._stopping.is_set()
+        return self._fleet_view.is_ready and not self._stopping.is_set()
 
     async def run(self):
         """Serve until SIGTERM; return the event that ended what was open."""
@@ -129,7 +135,7 @@
         start(self._meet_peers)
         start(self._peers.run)
         start(self._stages.run)
-        start(self._caches.run)
+        start(self._cache_sync.run)
         start(self._sweep)
         front = await tcp.listen(
             settings.callers, self._callers.serve, self._group
@@ -166,7 +172,7 @@
         self._peers.table.is_whole = True
 
     def _known(self):
-        return self._settings, self._now, self._beliefs
+        return self._settings, self._now, self._fleet_view
 
     async def _drain(self, front, others):
         """Leave the callers' answers, then end what is open.
@@ -207,8 +213,8 @@
         gc.freeze()
         while True:
             self._log_writer.flush()
-            self._beliefs.expire()
-            self._membership.update(self._peers.table.members())
+            self._fleet_view.expire()
+            self._cell_membership.update(self._peers.table.members())
             self._endpoints.sweep()
             await anyio.sleep(clock.seconds(SWEEP_MS))
 
--- a/clementinewall/gateway/stages.py
+++ b/clementinewall/gateway/stages.py
@@ -52,11 +52,13 @@
 class StageKeeper:
     """Watches the stages of all model services and changes them."""
 
-    def __init__(self, settings, beliefs, endpoints, peers, is_ready, ticker):
+    def __init__(
+        self, settings, fleet_view, endpoints, peers, is_ready, ticker
+    ):
         """Use the gateway's parts; order only while it ``is_ready()``."""
         self._is_ready = is_ready
         self._settings = settings
-        self._beliefs = beliefs
+        self._fleet_view = fleet_view
         self._endpoints = endpoints
         self._peers = peers
         self._clock = ticker
@@ -149,7 +151,7 @@
 
     def _plan(self):
         """Return a service and the change it needs, or ``None``."""
-        configuration = self._beliefs.configuration
+        configuration = self._fleet_view.configuration
         for service in configuration.service_by_name.values():
             if service.engine is None:
                 continue
@@ -225,7 +227,7 @@
             return
         if not held:
             return
-        endpoint = self._beliefs.endpoint_by_id.get(change.id)
+        endpoint = self._fleet_view.endpoint_by_id.get(change.id)
         if endpoint is None:
             return
         await self._order(service, self._endpoints.state(endpoint), change)
--- a/clementinewall/gateway/streams.py
+++ b/clementinewall/gateway/streams.py
@@ -34,7 +34,15 @@
     """Carries streams from the engines of a service to callers."""
 
     def __init__(
-        self, endpoints, placer, tell_prompt, budgets, guard, drain, group, now
+        self,
+        endpoints,
+        placer,
+        tell_prompt,
+        budgets,
+        crash_guard,
+        drain,
+        group,
+        now,
     ):
         """Use the gateway's parts.
 
@@ -46,7 +54,7 @@
         self._placer = placer
         self._tell_prompt = tell_prompt
         self._budgets = budgets
-        self._guard = guard
+        self._crash_guard = crash_guard
         self._group = group
         self._now = now
 
@@ -274,7 +282,7 @@
         for state in self._endpoints.of_service(exchange.service.name):
             if state.endpoint.id == exc.endpoint_id and exc.answer is None:
                 state.health.failed(self._now(), exc.absent)
-                self._guard.note_failure(
+                self._crash_guard.record_failure(
                     exchange.call, state, exc, before_first
                 )
         _log.info(
--- a/clementinewall/gateway/news.py
+++ b/clementinewall/gateway/topic_updates.py
@@ -13,14 +13,14 @@
 from clementinewall.platform import store
 
 # Reads that one message covers: one that is lost is made up for by the next.
-COVERED = 3
+READS_PER_UPDATE = 3
 # News of a larger change names the end only, and all others read it: one
 # reader tells all others, and large messages would fill its link and delay
 # its answers.
 MAX_BYTES = 1_000
 
 
-class News(typing.NamedTuple):
+class TopicUpdate(typing.NamedTuple):
     """The records that count, from ``start`` up to before ``end``.
 
     ``away_ms`` tells for how long the store could not be read before, or 0.
@@ -41,13 +41,13 @@
     away_ms: int
 
 
-class Journal:
+class RecentReads:
     """The last reads of a topic, for the next message."""
 
     def __init__(self, topic):
         """Begin without reads."""
         self._topic = topic
-        self._reads = collections.deque(maxlen=COVERED)
+        self._reads = collections.deque(maxlen=READS_PER_UPDATE)
 
     def forget(self):
         """Begin anew: the records before the next read are not known."""
@@ -59,7 +59,7 @@
         found = [record for read in self._reads for record in read.records]
         size = sum(len(r.key) + len(r.value or b"") for r in found)
         whole = size <= MAX_BYTES
-        return News(
+        return TopicUpdate(
             self._topic,
             self._reads[0].start,
             end,
@@ -69,9 +69,11 @@
         )
 
 
-def encode(news):
+def encode(update):
     """Return news as plain data for a datagram."""
-    return news._replace(records=[_plain(r) for r in news.records])._asdict()
+    return update._replace(
+        records=[_plain(r) for r in update.records]
+    )._asdict()
 
 
 def decode(data):
@@ -79,7 +81,7 @@
 
     :raises KeyError, TypeError, ValueError: it is none.
     """
-    return News(
+    return TopicUpdate(
         str(data["topic"]),
         int(data["start"]),
         int(data["end"]),
--- a/clementinewall/lab/gateway.py
+++ b/clementinewall/lab/gateway.py
@@ -7,9 +7,9 @@
 """
 
 from clementinewall import domain
-from clementinewall.gateway import beliefs
+from clementinewall.gateway import cell_membership
 from clementinewall.gateway import endpoints
-from clementinewall.gateway import membership
+from clementinewall.gateway import fleet_view
 from clementinewall.gateway import peer_messages
 from clementinewall.gateway import peer_table
 from clementinewall.gateway import peers
@@ -30,14 +30,20 @@
         self.ip = ip
         self._loop = loop
         self._network = network
-        known = beliefs.Beliefs(loop.read)
+        known = fleet_view.FleetView(loop.read)
         known.configuration = configuration
         known.endpoint_by_id = endpoint_by_id
         self.endpoints = endpoints.Endpoints(known, loop.read)
         self.table = peer_table.PeerTable(ip, loop.read)
-        self._membership = membership.Membership(_settings(ip), known)
+        self._cell_membership = cell_membership.CellMembership(
+            _settings(ip), known
+        )
         self.placer = placing.Placer(
-            _settings(ip), self.endpoints, self, self._membership, loop.read
+            _settings(ip),
+            self.endpoints,
+            self,
+            self._cell_membership,
+            loop.read,
         )
         self._last_work = {}
         self._sent_at = -peers.UNCHANGED_MS
@@ -50,22 +56,26 @@
         """
         for ip in ips:
             self.table.register(ip)
-        self._membership.update([ip for ip in ips if ip != self.ip])
+        self._cell_membership.update([ip for ip in ips if ip != self.ip])
         self._plan(peers.CHANGED_MS)
         self._tell_far(ips)
 
     def _tell_far(self, ips):
         """Tell those outside of the cell, all at once, what engines keep."""
         period = peers.FAR_MS * peers.FAR_ROUNDS
-        rows = self.endpoints.keepers.message(period)
+        rows = self.endpoints.cache_holders.message(period)
         for ip in ips:
-            if ip != self.ip and not self._membership.is_close(ip):
+            if ip != self.ip and not self._cell_membership.is_cell_gateway(ip):
                 self._network(ip, lambda peer: peer.hear_far(rows))
         self._loop.after(period, self._tell_far, ips)
 
     def close_ips(self):
         """Return the peers that share this gateway's engines."""
-        return [ip for ip in self.table.ips if self._membership.is_close(ip)]
+        return [
+            ip
+            for ip in self.table.ips
+            if self._cell_membership.is_cell_gateway(ip)
+        ]
 
     def tell(self):
         """Let the others know of a new prompt as soon as that is due."""
@@ -112,7 +122,7 @@
 
     def hear_far(self, rows):
         """Take in which engines keep what, from a gateway of another cell."""
-        self.endpoints.keepers.learn(rows)
+        self.endpoints.cache_holders.merge(rows)
 
 
 def _settings(ip):
--- a/tests/gateway/test_keepers.py
+++ b/tests/gateway/test_cache_holders.py
@@ -7,47 +7,49 @@
 
 from clementinewall import clock
 from clementinewall import domain
-from clementinewall.gateway import keepers
+from clementinewall.gateway import cache_holders
 
 LONG = [("system", 500), ("catalogue", 4_000)]
 PARTS = tuple(domain.PromptPart(name, tokens) for name, tokens in LONG)
 
 
-class Keepers(unittest.TestCase):
+class CacheHolders(unittest.TestCase):
     """Two gateways of different cells."""
 
     def setUp(self):
         """Begin with gateways that know nothing."""
         self.ticker = clock.ManualClock(100_000)
-        self.here = keepers.Keepers(self.ticker.now)
-        self.there = keepers.Keepers(self.ticker.now)
+        self.here = cache_holders.CacheHolders(self.ticker.now)
+        self.there = cache_holders.CacheHolders(self.ticker.now)
 
     def test_what_one_notes_the_other_finds(self):
-        self.here.note("e1", LONG)
+        self.here.record("e1", LONG)
         self.ticker.advance(700)
-        self.there.learn(self.here.message(2_000))
+        self.there.merge(self.here.message(2_000))
         found = self.there.find(PARTS)
         self.assertEqual((found.endpoint_id, found.tokens), ("e1", 4_500))
 
     def test_what_is_old_is_neither_told_nor_found(self):
         # Engines give up what is not used again.  A fetch of what is gone
         # makes its prompt later than was predicted.
-        self.here.note("e1", LONG)
-        self.ticker.advance(keepers.KEPT_MS + 1)
+        self.here.record("e1", LONG)
+        self.ticker.advance(cache_holders.RETENTION_MS + 1)
         self.assertIsNone(self.here.find(PARTS))
-        self.assertEqual(self.here.message(keepers.KEPT_MS), [])
+        self.assertEqual(self.here.message(cache_holders.RETENTION_MS), [])
 
     def test_ages_add_up_on_the_way(self):
-        self.here.note("e1", LONG)
+        self.here.record("e1", LONG)
         self.ticker.advance(5_000)
-        self.there.learn(self.here.message(keepers.KEPT_MS))
+        self.there.merge(self.here.message(cache_holders.RETENTION_MS))
         self.ticker.advance(5_000)
         self.assertIsNone(self.there.find(PARTS))
 
     def test_short_beginnings_are_not_worth_telling(self):
-        self.here.note("e1", [("system", keepers.MIN_TOKENS - 1)])
-        self.here.note("e1", [])
-        self.assertEqual(self.here.message(keepers.KEPT_MS), [])
+        self.here.record(
+            "e1", [("system", cache_holders.MIN_PREFIX_TOKENS - 1)]
+        )
+        self.here.record("e1", [])
+        self.assertEqual(self.here.message(cache_holders.RETENTION_MS), [])
         self.assertIsNone(self.here.find(()))
 
     @hypothesis.given(
@@ -64,17 +66,17 @@
     def test_the_latest_reading_stands_whatever_the_order(self, rows, rng):
         """Messages overtake one another and are told more than once."""
         ticker = clock.ManualClock(100_000)
-        writer = keepers.Keepers(ticker.now)
-        reader = keepers.Keepers(ticker.now)
+        writer = cache_holders.CacheHolders(ticker.now)
+        reader = cache_holders.CacheHolders(ticker.now)
         last = {}
         for gap_ms, engine in rows:
             ticker.advance(gap_ms)
-            writer.note(f"e{engine}", LONG)
+            writer.record(f"e{engine}", LONG)
             last[ticker.now()] = f"e{engine}"
-        messages = writer.message(keepers.KEPT_MS)
+        messages = writer.message(cache_holders.RETENTION_MS)
         rng.shuffle(messages)
         for row in messages:
-            reader.learn([row])
+            reader.merge([row])
         found = reader.find(PARTS)
-        self.assertEqual(last[found.read_at], found.endpoint_id)
-        self.assertEqual(found.read_at, max(last))
+        self.assertEqual(last[found.prefilled_at], found.endpoint_id)
+        self.assertEqual(found.prefilled_at, max(last))
--- a/tests/gateway/test_endpoints.py
+++ b/tests/gateway/test_endpoints.py
@@ -5,8 +5,8 @@
 
 from clementinewall import clock
 from clementinewall import domain
-from clementinewall.gateway import beliefs
 from clementinewall.gateway import endpoints
+from clementinewall.gateway import fleet_view
 from clementinewall.gateway import peer_messages
 from clementinewall.http1 import server
 
@@ -22,7 +22,7 @@
 def gateway_view():
     """Return what one gateway knows: an engine, nothing of its cache."""
     ticker = clock.ManualClock(100_000)
-    known = beliefs.Beliefs(ticker.now)
+    known = fleet_view.FleetView(ticker.now)
     known.endpoint_by_id = {"e1": ENGINE}
     known.configuration = domain.Configuration(
         1, {}, {"model": domain.Service("model", LIMITS)}, server.Limits()
@@ -43,7 +43,7 @@
 
     def cached(self, view):
         """Return how much of the prompt a gateway believes to be kept."""
-        return view.state(ENGINE).cache.leading_tokens((SHARED,))
+        return view.state(ENGINE).cache.cached_prefix_tokens((SHARED,))
 
     def tell(self, *parts):
         """Let the first gateway hear of changes, and tell the second one."""
@@ -73,7 +73,7 @@
             view.learn_kept(view.state(ENGINE), [SHARED, listed])
         self.tell(listed._replace(tokens=0))
         state = self.second.state(ENGINE)
-        self.assertEqual(state.cache.leading_tokens((listed,)), 0)
+        self.assertEqual(state.cache.cached_prefix_tokens((listed,)), 0)
 
     def test_what_a_list_after_a_gap_lacks_is_told_too(self):
         self.first.replace_cache(self.first.state(ENGINE), [])
@@ -85,7 +85,9 @@
         after = domain.PromptPart("t", 100)
         state = self.second.state(ENGINE)
         state.cache.use([("t", 100)], 100_000)
-        self.assertEqual(state.cache.leading_tokens((SHARED, after)), 4_096)
+        self.assertEqual(
+            state.cache.cached_prefix_tokens((SHARED, after)), 4_096
+        )
 
     def test_changes_of_an_engine_that_has_left_are_passed_over(self):
         self.second.learn_changed([["gone", "s", 0]])
@@ -100,8 +102,8 @@
         state = self.second.state(ENGINE)
         other = domain.PromptPart("p", 300)
         self.assertEqual(self.second.replace_cache(state, [other]), 1)
-        self.assertEqual(state.cache.leading_tokens((SHARED,)), 0)
-        self.assertEqual(state.cache.leading_tokens((other,)), 300)
+        self.assertEqual(state.cache.cached_prefix_tokens((SHARED,)), 0)
+        self.assertEqual(state.cache.cached_prefix_tokens((other,)), 300)
 
 
 class ReadingScale(unittest.TestCase):
--- a/tests/gateway/test_beliefs.py
+++ b/tests/gateway/test_fleet_view.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies
 
 from clementinewall import clock
-from clementinewall.gateway import beliefs
+from clementinewall.gateway import fleet_view
 from clementinewall.platform import store
 
 
@@ -31,74 +31,76 @@
     return store.Record("config", json.dumps(row).encode(), offset)
 
 
-class Beliefs(unittest.TestCase):
+class FleetView(unittest.TestCase):
     """Records in any order, and outages."""
 
     def setUp(self):
         """Know nothing."""
         self.clock = clock.ManualClock()
-        self.beliefs = beliefs.Beliefs(self.clock.now)
+        self.fleet_view = fleet_view.FleetView(self.clock.now)
 
     def usable(self):
         """Return the ids of the endpoints that are known."""
-        return sorted(self.beliefs.endpoint_by_id)
+        return sorted(self.fleet_view.endpoint_by_id)
 
     @hypothesis.given(strategies.permutations(range(6)))
     @hypothesis.settings(derandomize=True)
     def test_configuration_never_goes_back(self, order):
         # Reads may be stale and histories dropped.  A version that was in
         # force must not return, or requests go where operators forbade it.
-        known = beliefs.Beliefs(self.clock.now)
+        known = fleet_view.FleetView(self.clock.now)
         highest = -1
         for offset in order:
-            known.take_configuration(configuration(offset, offset * 3))
+            known.apply_configuration(configuration(offset, offset * 3))
             highest = max(highest, offset * 3)
             self.assertEqual(known.configuration.version, highest)
 
     def test_unreadable_records_change_nothing_else(self):
-        self.beliefs.take_configuration(configuration(0, 1))
-        self.beliefs.take_configuration(store.Record("config", b"{", 1))
-        self.assertEqual(self.beliefs.configuration.version, 1)
-        self.beliefs.take_endpoint(endpoint(0))
+        self.fleet_view.apply_configuration(configuration(0, 1))
+        self.fleet_view.apply_configuration(store.Record("config", b"{", 1))
+        self.assertEqual(self.fleet_view.configuration.version, 1)
+        self.fleet_view.apply_endpoint(endpoint(0))
         for offset, value in enumerate(
             (b"\xff\xfe", b"[]", b"{}", b'{"state": "odd"}', b"1e999"), 1
         ):
-            self.beliefs.take_endpoint(store.Record("e2", value, offset))
+            self.fleet_view.apply_endpoint(store.Record("e2", value, offset))
         self.assertEqual(self.usable(), ["e1"])
 
     def test_stale_record_of_an_endpoint_is_kept_out(self):
-        self.beliefs.take_endpoint(endpoint(7, state="draining"))
-        self.beliefs.take_endpoint(endpoint(3))
-        self.assertTrue(self.beliefs.endpoint_by_id["e1"].leaving)
+        self.fleet_view.apply_endpoint(endpoint(7, state="draining"))
+        self.fleet_view.apply_endpoint(endpoint(3))
+        self.assertTrue(self.fleet_view.endpoint_by_id["e1"].leaving)
 
     def test_removed_endpoint_gets_nothing_more(self):
-        self.beliefs.take_endpoint(endpoint(0))
-        self.beliefs.take_endpoint(store.Record("e1", None, 1))
+        self.fleet_view.apply_endpoint(endpoint(0))
+        self.fleet_view.apply_endpoint(store.Record("e1", None, 1))
         self.assertEqual(self.usable(), [])
 
     def test_records_that_lapsed_in_an_outage_get_two_seconds(self):
         # While the store was away no endpoint could renew its record.  All
         # lapse at once; dropped at once, every request would be refused.
-        self.beliefs.take_endpoint(endpoint(0))
-        self.beliefs.store_returned(5_000)
-        self.beliefs.take_endpoint(store.Record("e1", None, 1))
+        self.fleet_view.apply_endpoint(endpoint(0))
+        self.fleet_view.record_store_recovery(5_000)
+        self.fleet_view.apply_endpoint(store.Record("e1", None, 1))
         self.assertEqual(self.usable(), ["e1"])
-        self.clock.advance(beliefs.LAPSE_GRACE_MS)
-        self.beliefs.expire()
+        self.clock.advance(fleet_view.LAPSE_GRACE_MS)
+        self.fleet_view.expire()
         self.assertEqual(self.usable(), [])
 
     def test_endpoint_that_returns_in_time_stays(self):
-        self.beliefs.take_endpoint(endpoint(0))
-        self.beliefs.store_returned(5_000)
-        self.beliefs.take_endpoint(store.Record("e1", None, 1))
-        self.beliefs.take_endpoint(endpoint(2))
-        self.clock.advance(beliefs.LAPSE_GRACE_MS)
-        self.beliefs.expire()
+        self.fleet_view.apply_endpoint(endpoint(0))
+        self.fleet_view.record_store_recovery(5_000)
+        self.fleet_view.apply_endpoint(store.Record("e1", None, 1))
+        self.fleet_view.apply_endpoint(endpoint(2))
+        self.clock.advance(fleet_view.LAPSE_GRACE_MS)
+        self.fleet_view.expire()
         self.assertEqual(self.usable(), ["e1"])
 
     def test_endpoint_missing_after_the_history_is_gone(self):
         # The record of its leaving has expired; only its absence shows it.
-        self.beliefs.take_endpoint(endpoint(0))
-        self.beliefs.take_endpoint(endpoint(1, "e2"))
-        self.beliefs.take_whole_fleet(store.Batch((endpoint(9, "e2"),), 10))
+        self.fleet_view.apply_endpoint(endpoint(0))
+        self.fleet_view.apply_endpoint(endpoint(1, "e2"))
+        self.fleet_view.apply_fleet_snapshot(
+            store.Batch((endpoint(9, "e2"),), 10)
+        )
         self.assertEqual(self.usable(), ["e2"])
--- a/tests/gateway/test_following.py
+++ b/tests/gateway/test_following.py
@@ -11,9 +11,9 @@
 from clementinewall import clock
 from clementinewall import domain
 from clementinewall import errors
-from clementinewall.gateway import beliefs
+from clementinewall.gateway import fleet_view
 from clementinewall.gateway import following
-from clementinewall.gateway import news as news_module
+from clementinewall.gateway import topic_updates
 from clementinewall.platform import records
 from clementinewall.platform import store
 
@@ -73,13 +73,13 @@
     def __init__(self):
         self.told = []
 
-    def on_news(self, _topic, _take):
+    def on_update(self, _topic, _take):
         """Nobody listens here; tests hand news on."""
 
-    def tell_news(self, news):
+    def send_update(self, update):
         """Keep the news as it would arrive."""
-        raw = json.dumps(news_module.encode(news))
-        self.told.append(news_module.decode(json.loads(raw)))
+        raw = json.dumps(topic_updates.encode(update))
+        self.told.append(topic_updates.decode(json.loads(raw)))
 
     def place_in_line(self):
         """Return the first place."""
@@ -90,8 +90,10 @@
     """One gateway's beliefs of the endpoints, and how it follows them."""
 
     def __init__(self, log, now):
-        self.beliefs = beliefs.Beliefs(now)
-        self.follower = following.fleet_follower(SETTINGS, now, self.beliefs)
+        self.fleet_view = fleet_view.FleetView(now)
+        self.follower = following.fleet_follower(
+            SETTINGS, now, self.fleet_view
+        )
         self.follower._store = log
         self.peers = _Peers()
         self.follower.share(self.peers)
@@ -103,10 +105,10 @@
     @property
     def known(self):
         """Return what is believed, without heartbeats."""
-        return dict(self.beliefs.endpoint_by_id)
+        return dict(self.fleet_view.endpoint_by_id)
 
 
-class News(unittest.TestCase):
+class TopicUpdate(unittest.TestCase):
     """A reader and a listener that gets some of its datagrams."""
 
     def setUp(self):
@@ -160,16 +162,16 @@
             self.write_all(writes)
             reader.step()
             if fate == "told":
-                listener.follower.take_news(reader.peers.told[-1])
+                listener.follower.apply_update(reader.peers.told[-1])
             if fate == "read":
                 listener.step()
         reader.step()
-        listener.follower.take_news(reader.peers.told[-1])
+        listener.follower.apply_update(reader.peers.told[-1])
         if listener.follower._next != len(self.log.records):
             listener.step()
-        self.clock.advance(beliefs.LAPSE_GRACE_MS)
+        self.clock.advance(fleet_view.LAPSE_GRACE_MS)
         for gateway in (reader, listener):
-            gateway.beliefs.expire()
+            gateway.fleet_view.expire()
         self.assertEqual(listener.known, reader.known)
 
     def test_a_record_of_an_earlier_life(self):
@@ -186,7 +188,7 @@
         listener.step()
         self.log.write("e1", "ready", born=2)
         reader.step()
-        listener.follower.take_news(reader.peers.told[-1])
+        listener.follower.apply_update(reader.peers.told[-1])
         self.assertFalse(listener.known["e1"].leaving)
         self.assertEqual(listener.known, reader.known)
 
@@ -209,7 +211,7 @@
         self.log.write("e1", "draining")
         reader.step()
         reader.step()
-        listener.follower.take_news(reader.peers.told[-1])
+        listener.follower.apply_update(reader.peers.told[-1])
         self.assertTrue(listener.known["e1"].leaving)
 
     def test_a_gap_is_read_and_not_guessed(self):
@@ -217,10 +219,10 @@
         self.log.write("e1", "ready")
         reader, listener = self.pair()
         self.log.write("e1", "draining")
-        for _ in range(news_module.COVERED + 1):
+        for _ in range(topic_updates.READS_PER_UPDATE + 1):
             self.log.write("e2", "ready")
             reader.step()
-        listener.follower.take_news(reader.peers.told[-1])
+        listener.follower.apply_update(reader.peers.told[-1])
         self.assertFalse(listener.known["e1"].leaving)
         self.assertLessEqual(
             listener.follower._known_at + listener.follower._patience_ms(),
@@ -231,12 +233,12 @@
 
     def test_a_change_too_large_to_tell_is_read(self):
         # A configuration of 1,400 routes fits into no datagram.
-        row = store.Record("config", b"x" * news_module.MAX_BYTES, 4)
-        journal = news_module.Journal(records.CONFIGURATION_TOPIC)
-        news = journal.add(4, 5, [row], 0)
-        self.assertFalse(news.whole)
-        self.assertEqual(news.records, ())
-        self.assertEqual(news.end, 5)
+        row = store.Record("config", b"x" * topic_updates.MAX_BYTES, 4)
+        recent_reads = topic_updates.RecentReads(records.CONFIGURATION_TOPIC)
+        update = recent_reads.add(4, 5, [row], 0)
+        self.assertFalse(update.whole)
+        self.assertEqual(update.records, ())
+        self.assertEqual(update.end, 5)
 
     @hypothesis.given(
         strategies.lists(strategies.integers(0, 30_000), max_size=40)
@@ -246,18 +248,18 @@
         # The reader's machine has a link of 5 Mbit/s and 63 listeners.
         # While it sends them a large message nothing else gets out, and
         # callers of that gateway see it stand still.
-        journal = news_module.Journal(records.CONFIGURATION_TOPIC)
+        recent_reads = topic_updates.RecentReads(records.CONFIGURATION_TOPIC)
         for offset, size in enumerate(sizes):
             row = store.Record("config", b"x" * size, offset)
-            news = journal.add(offset, offset + 1, [row], 0)
-            raw = json.dumps(news_module.encode(news))
+            update = recent_reads.add(offset, offset + 1, [row], 0)
+            raw = json.dumps(topic_updates.encode(update))
             self.assertLess(len(raw), 2_000)
 
     def test_of_many_configurations_only_the_newest_is_decoded(self):
         # A configuration of 1,400 routes takes milliseconds to decode, and
         # operators may write 25 of them within two seconds.  Meanwhile
         # callers of this gateway would wait.
-        known = beliefs.Beliefs(self.clock.now)
+        known = fleet_view.FleetView(self.clock.now)
         follower = following.configuration_follower(
             SETTINGS, self.clock.now, known
         )
@@ -285,10 +287,10 @@
         self.clock.advance(5_000)
         self.log.write("e1", None)
         reader.step()
-        listener.follower.take_news(reader.peers.told[-1])
+        listener.follower.apply_update(reader.peers.told[-1])
         self.assertIn("e1", listener.known)
-        self.clock.advance(beliefs.LAPSE_GRACE_MS)
-        listener.beliefs.expire()
+        self.clock.advance(fleet_view.LAPSE_GRACE_MS)
+        listener.fleet_view.expire()
         self.assertNotIn("e1", listener.known)
 
     def test_a_store_away_for_one_gateway_only(self):
@@ -301,7 +303,7 @@
         for _ in range(20):
             self.clock.advance(400)
             reader.step()
-            cut_off.follower.take_news(reader.peers.told[-1])
+            cut_off.follower.apply_update(reader.peers.told[-1])
         self.log.write("e1", None)
         cut_off.step()
         self.assertNotIn("e1", cut_off.known)
--- a/tests/gateway/test_peers.py
+++ b/tests/gateway/test_peers.py
@@ -4,10 +4,10 @@
 
 from clementinewall import clock
 from clementinewall import domain
-from clementinewall.gateway import beliefs
+from clementinewall.gateway import cell_membership
+from clementinewall.gateway import crash_guard
 from clementinewall.gateway import endpoints
-from clementinewall.gateway import guard
-from clementinewall.gateway import membership
+from clementinewall.gateway import fleet_view
 from clementinewall.gateway import peer_messages
 from clementinewall.gateway import peers
 
@@ -48,7 +48,7 @@
         """Begin a second after the start, with an idle socket."""
         self.ticker = clock.ManualClock(100_000)
         now = self.ticker.now
-        known = beliefs.Beliefs(now)
+        known = fleet_view.FleetView(now)
         known.endpoint_by_id = {"e1": ENGINE}
         self.endpoints = endpoints.Endpoints(known, now)
         self.peers = peers.Peers(
@@ -56,14 +56,14 @@
             now,
             lambda: True,
             self.endpoints,
-            guard.Guard(now),
-            membership.Membership(SETTINGS, known),
+            crash_guard.CrashGuard(now),
+            cell_membership.CellMembership(SETTINGS, known),
         )
         self.wire = _Wire()
         self.peers._datagrams = self.wire
         sign = peer_messages.Sign(OTHER, f"{OTHER}:1", "a", True, now())
         self.peers.table.take_sign(sign)
-        self.peers._membership.update([OTHER])
+        self.peers._cell_membership.update([OTHER])
 
     def begin(self, cost_ms):
         """Begin a prompt and tell it."""
@@ -108,15 +108,15 @@
 
     def test_numbers_without_end_do_not_end_the_process(self):
         now = clock.ManualClock(100_000).now
-        known = beliefs.Beliefs(now)
+        known = fleet_view.FleetView(now)
         known.endpoint_by_id = {"e1": ENGINE}
         found = peers.Peers(
             SETTINGS,
             now,
             lambda: True,
             endpoints.Endpoints(known, now),
-            guard.Guard(now),
-            membership.Membership(SETTINGS, known),
+            crash_guard.CrashGuard(now),
+            cell_membership.CellMembership(SETTINGS, known),
         )
         sign = ["10.0.0.2", "", "a", True, 0]
         state = {"sign": sign, "work": {}, "away": {}}
--- a/tests/gateway/test_placing.py
+++ b/tests/gateway/test_placing.py
@@ -6,10 +6,10 @@
 from clementinewall import clock
 from clementinewall import domain
 from clementinewall import errors
-from clementinewall.gateway import beliefs
+from clementinewall.gateway import cell_membership
 from clementinewall.gateway import endpoints
 from clementinewall.gateway import exchange as exchanges
-from clementinewall.gateway import membership
+from clementinewall.gateway import fleet_view
 from clementinewall.gateway import peer_table
 from clementinewall.gateway import placing
 from clementinewall.http1 import server
@@ -61,26 +61,28 @@
         """Know all gateways and engines."""
         self.ticker = clock.ManualClock(100_000)
         now = self.ticker.now
-        self.beliefs = beliefs.Beliefs(now)
-        self.beliefs.configuration = domain.Configuration(
+        self.fleet_view = fleet_view.FleetView(now)
+        self.fleet_view.configuration = domain.Configuration(
             1, {}, {"model": SERVICE}, server.Limits()
         )
-        self.beliefs.endpoint_by_id = {
+        self.fleet_view.endpoint_by_id = {
             found.id: found
             for found in (
                 engine(n, domain.STAGES[n % len(domain.STAGES)])
                 for n in range(24)
             )
         }
-        self.endpoints = endpoints.Endpoints(self.beliefs, now)
-        self.membership = membership.Membership(SETTINGS, self.beliefs)
-        self.membership.update(GATEWAYS[1:])
+        self.endpoints = endpoints.Endpoints(self.fleet_view, now)
+        self.cell_membership = cell_membership.CellMembership(
+            SETTINGS, self.fleet_view
+        )
+        self.cell_membership.update(GATEWAYS[1:])
         table = peer_table.PeerTable(GATEWAYS[0], now)
         self.placer = placing.Placer(
             SETTINGS,
             self.endpoints,
             types.SimpleNamespace(table=table),
-            self.membership,
+            self.cell_membership,
             now,
         )
 
@@ -99,14 +101,15 @@
         return [
             state
             for state in self.endpoints.of_service("model")
-            if self.membership.is_own(state) and state.endpoint.stage == stage
+            if self.cell_membership.is_cell_engine(state)
+            and state.endpoint.stage == stage
         ]
 
     def test_the_cell_serves_itself(self):
         for _ in range(50):
             plan = self.place()
-            self.assertTrue(self.membership.is_own(plan.decoder))
-            self.assertTrue(self.membership.is_own(plan.reader))
+            self.assertTrue(self.cell_membership.is_cell_engine(plan.decoder))
+            self.assertTrue(self.cell_membership.is_cell_engine(plan.reader))
 
     def test_other_cells_help_where_all_engines_of_a_stage_crashed(self):
         # All decode engines of a cell crash together.  Its gateways would
@@ -115,7 +118,7 @@
             state.health.failed(self.ticker.now(), absent=True)
         for _ in range(20):
             plan = self.place()
-            self.assertFalse(self.membership.is_own(plan.decoder))
+            self.assertFalse(self.cell_membership.is_cell_engine(plan.decoder))
             self.assertTrue(plan.decoder.is_usable())
 
     def test_full_engines_are_no_reason_to_go_elsewhere(self):
--- a/tests/gateway/test_stages.py
+++ b/tests/gateway/test_stages.py
@@ -51,7 +51,7 @@
     def setUp(self):
         """Make a keeper that knows no engine yet."""
         self.clock = clock.ManualClock(100_000)
-        self.beliefs = types.SimpleNamespace(
+        self.fleet_view = types.SimpleNamespace(
             configuration=types.SimpleNamespace(
                 service_by_name={SERVICE.name: SERVICE}
             ),
@@ -64,8 +64,8 @@
         )
         self.keeper = stages.StageKeeper(
             SETTINGS,
-            self.beliefs,
-            endpoints.Endpoints(self.beliefs, self.clock.now),
+            self.fleet_view,
+            endpoints.Endpoints(self.fleet_view, self.clock.now),
             peers,
             lambda: True,
             self.clock,
@@ -79,7 +79,7 @@
 
     def engine(self, name, stage, report=None, order=202):
         """Register an engine with its answers: a status or an exception."""
-        self.beliefs.endpoint_by_id[name] = domain.Endpoint(
+        self.fleet_view.endpoint_by_id[name] = domain.Endpoint(
             name, "model", f"10.1.0.1:{len(name)}", "a", 16, False, stage, 1
         )
         self.report_by_id[name] = report or {"sequence": 0}
--- a/tests/integration/test_gateway_caches.py
+++ b/tests/integration/test_gateway_cache_sync.py
@@ -2,7 +2,7 @@
 
 import time
 
-from clementinewall.gateway import caches
+from clementinewall.gateway import cache_sync
 from standins import scripted
 from tests.integration import gateway_base
 
@@ -55,7 +55,7 @@
         self.assertEqual(self.ask_and_count(front, "a1"), (0, 1))
         self.cold.changes.append((SHARED, 20_000))
         self.warm.changes.append((SHARED, 0))
-        time.sleep(3 * caches.FOLLOW_MS / 1_000)
+        time.sleep(3 * cache_sync.POLL_INTERVAL_MS / 1_000)
         self.assertEqual(self.ask_and_count(front, "a2"), (1, 1))
 
     def test_an_engine_that_does_not_tell_its_cache_serves_all_the_same(self):
