--- a/tests/gateway/test_following.py
+++ b/tests/gateway/test_topic_followers.py
@@ -12,7 +12,7 @@
 from clementinewall import domain
 from clementinewall import errors
 from clementinewall.gateway import fleet_view
-from clementinewall.gateway import following
+from clementinewall.gateway import topic_followers
 from clementinewall.gateway import topic_updates
 from clementinewall.platform import records
 from clementinewall.platform import store
@@ -91,7 +91,7 @@
 
     def __init__(self, log, now):
         self.fleet_view = fleet_view.FleetView(now)
-        self.follower = following.fleet_follower(
+        self.follower = topic_followers.fleet_follower(
             SETTINGS, now, self.fleet_view
         )
         self.follower._store = log
@@ -260,7 +260,7 @@
         # operators may write 25 of them within two seconds.  Meanwhile
         # callers of this gateway would wait.
         known = fleet_view.FleetView(self.clock.now)
-        follower = following.configuration_follower(
+        follower = topic_followers.configuration_follower(
             SETTINGS, self.clock.now, known
         )
         follower._store = self.log
