--- a/clementinewall/gateway/stage_manager.py
+++ b/clementinewall/gateway/stage_manager.py
@@ -316,7 +316,7 @@
             kind, rest_ms = cooldowns.Cause.UNANSWERED, UNANSWERED_MS
         else:
             is_absent = isinstance(exc, client.LinkBroken) and exc.absent
-            state.health.failed(self._clock.now(), is_absent)
+            state.health.record_failure(self._clock.now(), is_absent)
         metrics.count("orders", status=kind.value)
         self._cooldowns.start(state.endpoint.id, kind, rest_ms)
         _log.warning(
@@ -333,7 +333,9 @@
         A kept one may have gone silent, and closing it takes along what
         wasn't sent: an order that was given up must not arrive later.
         """
-        return await state.pool.ask(request, sending.ANSWER_LIMIT, fresh=True)
+        return await state.pool.ask(
+            request, sending.MAX_ANSWER_BYTES, fresh=True
+        )
 
 
 def _stage(change):
--- a/tests/gateway/test_fleet_view.py
+++ b/tests/gateway/test_fleet_view.py
@@ -69,7 +69,7 @@
     def test_stale_record_of_an_endpoint_is_kept_out(self):
         self.fleet_view.apply_endpoint(endpoint(7, state="draining"))
         self.fleet_view.apply_endpoint(endpoint(3))
-        self.assertTrue(self.fleet_view.endpoint_by_id["e1"].leaving)
+        self.assertTrue(self.fleet_view.endpoint_by_id["e1"].draining)
 
     def test_removed_endpoint_gets_nothing_more(self):
         self.fleet_view.apply_endpoint(endpoint(0))
