--- a/tests/gateway/test_placing.py
+++ b/tests/gateway/test_placing.py
@@ -108,8 +108,12 @@
     def test_the_cell_serves_itself(self):
         for _ in range(50):
             plan = self.place()
-            self.assertTrue(self.cell_membership.is_cell_engine(plan.decoder))
-            self.assertTrue(self.cell_membership.is_cell_engine(plan.reader))
+            self.assertTrue(
+                self.cell_membership.is_cell_engine(plan.decode_engine)
+            )
+            self.assertTrue(
+                self.cell_membership.is_cell_engine(plan.prefill_engine)
+            )
 
     def test_other_cells_help_where_all_engines_of_a_stage_crashed(self):
         # All decode engines of a cell crash together.  Its gateways would
@@ -118,8 +122,10 @@
             state.health.record_failure(self.ticker.now(), absent=True)
         for _ in range(20):
             plan = self.place()
-            self.assertFalse(self.cell_membership.is_cell_engine(plan.decoder))
-            self.assertTrue(plan.decoder.is_usable())
+            self.assertFalse(
+                self.cell_membership.is_cell_engine(plan.decode_engine)
+            )
+            self.assertTrue(plan.decode_engine.is_usable())
 
     def test_full_engines_are_no_reason_to_go_elsewhere(self):
         # With too much work everywhere, cells that send each other what
@@ -147,5 +153,5 @@
         self.assertGreaterEqual(
             caught.exception.retry_after_ms, placement.NO_DECODE_RETRY_MS
         )
-        self.ticker.advance(placing.PROBE_MS)
+        self.ticker.advance(placing.PROBE_INTERVAL_MS)
         self.place()
