--- a/clementinewall/gateway/plain.py
+++ b/clementinewall/gateway/plain_relay.py
@@ -21,9 +21,9 @@
 class PlainRelay:
     """Carries calls to the endpoints of a service and the answers back."""
 
-    def __init__(self, settings, endpoints, budgets, guard, now):
+    def __init__(self, settings, endpoints, budgets, crash_guard, now):
         """Use the gateway's parts."""
-        self._guard = guard
+        self._crash_guard = crash_guard
         self._settings = settings
         self._endpoints = endpoints
         self._budgets = budgets
@@ -39,7 +39,7 @@
             state = self._pick(exchange)
             if state is None:
                 break
-            spent = 1 if exchange.arrivals else 0
+            spent = 1 if exchange.reached_sends else 0
             if spent and not self._budgets.spend(
                 exchange.service, spent, "send again"
             ):
@@ -52,13 +52,13 @@
             except exchanges.AttemptFailed as exc:
                 last = exc
                 if spent and not exc.reached:
-                    self._budgets.give_back(exchange.service, spent)
+                    self._budgets.refund(exchange.service, spent)
                 self._note_failure(exchange, state, exc)
-                if not exchange.may_send_again():
+                if not exchange.may_retry():
                     break
                 continue
-            state.health.worked()
-            self._guard.note_answer(exchange.call)
+            state.health.record_success()
+            self._crash_guard.record_answer(exchange.call)
             await exchange.connection.answer(calls.forwarded(head), body)
             return
         if last is not None and last.answer is not None:
@@ -72,7 +72,7 @@
         states = [
             state
             for state in self._endpoints.of_service(exchange.service.name)
-            if state.endpoint.id not in exchange.tried
+            if state.endpoint.id not in exchange.tried_ids
         ]
         usable = [s for s in states if s.is_usable()] or states
         if not usable:
@@ -89,11 +89,11 @@
 
     async def _attempt(self, exchange, state):
         exchange.sends += 1
-        exchange.tried.add(state.endpoint.id)
+        exchange.tried_ids.add(state.endpoint.id)
         left_ms = exchange.left_ms
         is_last = not (
             exchange.route.idempotent
-            and exchange.arrivals < exchange.route.max_attempts
+            and exchange.reached_sends < exchange.route.max_attempts
         )
         # The last send ends with the request itself.
         limit = None if is_last else clock.seconds(left_ms * FIRST_PART)
@@ -122,19 +122,19 @@
     def _checked(self, exchange, sent, body):
         head = sent.head
         if head.status < 400 and not calls.is_whole_success(head):
-            raise sent.failed("a success without the endpoint's stamp")
+            raise sent.failure("a success without the endpoint's stamp")
         answer = head, body
         if head.status >= 500 and exchange.route.idempotent:
-            raise sent.failed(
+            raise sent.failure(
                 f"status {head.status}", verdicts.Verdict.RAN, answer
             )
         return answer
 
     def _note_failure(self, exchange, state, exc):
-        exchange.note(exc)
+        exchange.record_failure(exc)
         if exc.answer is None:
-            state.health.failed(self._now(), exc.absent)
-        self._guard.note_failure(exchange.call, state, exc, True)
+            state.health.record_failure(self._now(), exc.absent)
+        self._crash_guard.record_failure(exchange.call, state, exc, True)
         _log.info(
             "attempt failed",
             request=exchange.call.attempt,
--- a/clementinewall/gateway/stage_manager.py
+++ b/clementinewall/gateway/stage_manager.py
@@ -52,11 +52,13 @@
 class StageManager:
     """Watches the stages of all model services and changes them."""
 
-    def __init__(self, settings, beliefs, endpoints, peers, is_ready, ticker):
+    def __init__(
+        self, settings, fleet_view, endpoints, peers, is_ready, ticker
+    ):
         """Use the gateway's parts; order only while it ``is_ready()``."""
         self._is_ready = is_ready
         self._settings = settings
-        self._beliefs = beliefs
+        self._fleet_view = fleet_view
         self._endpoints = endpoints
         self._peers = peers
         self._clock = ticker
@@ -149,7 +151,7 @@
 
     def _plan(self):
         """Return a service and the change it needs, or ``None``."""
-        configuration = self._beliefs.configuration
+        configuration = self._fleet_view.configuration
         for service in configuration.service_by_name.values():
             if service.engine is None:
                 continue
@@ -226,7 +228,7 @@
             return
         if not held:
             return
-        endpoint = self._beliefs.endpoint_by_id.get(change.id)
+        endpoint = self._fleet_view.endpoint_by_id.get(change.id)
         if endpoint is None:
             return
         await self._order(service, self._endpoints.state(endpoint), change)
@@ -314,7 +316,7 @@
             kind, rest_ms = cooldowns.Cause.UNANSWERED, UNANSWERED_MS
         else:
             is_absent = isinstance(exc, client.LinkBroken) and exc.absent
-            state.health.failed(self._clock.now(), is_absent)
+            state.health.record_failure(self._clock.now(), is_absent)
         metrics.count("orders", status=kind.value)
         self._cooldowns.start(state.endpoint.id, kind, rest_ms)
         _log.warning(
@@ -331,7 +333,9 @@
         A kept one may have gone silent, and closing it takes along what
         wasn't sent: an order that was given up must not arrive later.
         """
-        return await state.pool.ask(request, sending.ANSWER_LIMIT, fresh=True)
+        return await state.pool.ask(
+            request, sending.MAX_ANSWER_BYTES, fresh=True
+        )
 
 
 def _stage(change):
--- a/clementinewall/gateway/streams.py
+++ b/clementinewall/gateway/stream_relay.py
@@ -34,7 +34,15 @@
     """Carries streams from the engines of a service to callers."""
 
     def __init__(
-        self, endpoints, placer, tell_prompt, budgets, guard, drain, group, now
+        self,
+        endpoints,
+        placer,
+        tell_prompt,
+        budgets,
+        crash_guard,
+        drain,
+        group,
+        now,
     ):
         """Use the gateway's parts.
 
@@ -46,7 +54,7 @@
         self._placer = placer
         self._tell_prompt = tell_prompt
         self._budgets = budgets
-        self._guard = guard
+        self._crash_guard = crash_guard
         self._group = group
         self._now = now
 
@@ -59,7 +67,7 @@
         last = None
         while True:
             plan = self._placer.place(exchange, last)
-            self._drain.check_stream(exchange, plan.way.first_ms)
+            self._drain.check_stream(exchange, plan.option.first_ms)
             spent = _further_sends(exchange, plan)
             if spent and not self._budgets.spend(
                 exchange.service, spent, _reason(exchange)
@@ -74,13 +82,13 @@
                 last = exc
                 unused = _unused_sends(plan, spent, exc)
                 if unused:
-                    self._budgets.give_back(exchange.service, unused)
+                    self._budgets.refund(exchange.service, unused)
                 self._note_failure(exchange, exc, not stream.had_first)
-                if not exchange.may_send_again():
+                if not exchange.may_retry():
                     break
                 continue
-            if exchange.first_ms is not None:
-                self._drain.note_stream(exchange, exchange.first_ms)
+            if exchange.first_event_ms is not None:
+                self._drain.record_stream(exchange, exchange.first_event_ms)
             return
         if last.answer is not None and not stream.started:
             head, body = last.answer
@@ -90,23 +98,25 @@
 
     async def _run_plan(self, exchange, stream, plan):
         prefilled = None
-        if plan.reader is not None:
+        if plan.prefill_engine is not None:
             prefilled = await self._prefill(exchange, plan)
             self._check_time(exchange, plan, prefilled)
         exchange.sends += 1
-        decoder = plan.decoder
+        decoder = plan.decode_engine
         if not self._endpoints.is_current(decoder):
             # It began to leave while the prompt was read elsewhere, and must
             # get no new work.
             if prefilled is not None:
-                self._group.start_soon(self._free, plan.reader, prefilled)
+                self._group.start_soon(
+                    self._free, plan.prefill_engine, prefilled
+                )
             raise exchanges.AttemptFailed(
                 verdicts.Verdict.NOT_RUN,
                 "the engine is leaving",
                 decoder.endpoint.id,
                 reached=False,
             )
-        exchange.tried.add(decoder.endpoint.id)
+        exchange.tried_ids.add(decoder.endpoint.id)
         request = calls.run(
             exchange.call,
             decoder.endpoint,
@@ -119,24 +129,26 @@
         decoder.streams += 1
         job = None
         if not prefilled:
-            job = decoder.begin_prompt(plan.run_urgency, plan.way.prompt_ms)
+            job = decoder.begin_prompt(plan.run_urgency, plan.option.prompt_ms)
             self._tell_prompt(job)
         stream.begin(lambda: self._first(exchange, plan, job))
         taken = False
-        silence_ms = self._silence_ms(exchange, plan)
+        silence_timeout_ms = self._silence_ms(exchange, plan)
         try:
             async with sending.send(
-                exchange.call, decoder, request, self._now, silence_ms
+                exchange.call, decoder, request, self._now, silence_timeout_ms
             ) as sent:
                 taken = True
-                await stream.carry(sent, silence_ms)
+                await stream.carry(sent, silence_timeout_ms)
         finally:
             decoder.streams -= 1
             if job is not None and not stream.had_first:
                 decoder.end_prompt(job, False)
             if prefilled is not None and not taken:
-                self._group.start_soon(self._free, plan.reader, prefilled)
-        decoder.health.worked()
+                self._group.start_soon(
+                    self._free, plan.prefill_engine, prefilled
+                )
+        decoder.health.record_success()
 
     def _check_time(self, exchange, plan, prefilled):
         """Refuse a stream that the end came too near to while it waited.
@@ -146,7 +158,7 @@
         try:
             self._drain.check_stream(exchange, 0)
         except errors.Leaving:
-            self._group.start_soon(self._free, plan.reader, prefilled)
+            self._group.start_soon(self._free, plan.prefill_engine, prefilled)
             raise
 
     def _silence_ms(self, exchange, plan):
@@ -156,39 +168,42 @@
         none.
         """
         route = exchange.route
-        if not route.idempotent or exchange.arrivals >= route.max_attempts:
+        if (
+            not route.idempotent
+            or exchange.reached_sends >= route.max_attempts
+        ):
             return None
-        if not self._budgets.has_left(exchange.service, READ_AGAIN_SENDS):
+        if not self._budgets.can_spend(exchange.service, READ_AGAIN_SENDS):
             return None
         others = [
             state
             for state in self._endpoints.of_service(exchange.service.name)
-            if state.endpoint.id not in exchange.tried
+            if state.endpoint.id not in exchange.tried_ids
             and state.endpoint.stage == domain.DECODE
         ]
         if not others:
             return None
-        expected = plan.way.first_ms * PREFILL_PATIENCE
+        expected = plan.option.first_ms * PREFILL_PATIENCE
         pauses = SILENCE_PAUSES * route.gap_goal_ms
         return max(SILENCE_MS, expected, pauses)
 
     def _first(self, exchange, plan, job):
         if job is not None:
-            plan.decoder.end_prompt(job, True)
+            plan.decode_engine.end_prompt(job, True)
         if exchange.call.prompt:
             note = self._endpoints.note_read
             if job is None:
                 note = self._endpoints.note_fetched
-            note(plan.decoder, exchange.call.prompt)
+            note(plan.decode_engine, exchange.call.prompt)
         took = exchange.waited_ms
-        if exchange.first_ms is None:
-            exchange.first_ms = took
+        if exchange.first_event_ms is None:
+            exchange.first_event_ms = took
         metrics.observe_ms("first_event", took, route=exchange.route.name)
         _log.info(
             "first event",
             request=exchange.call.attempt,
             took_ms=took,
-            predicted_ms=round(plan.way.first_ms),
+            predicted_ms=round(plan.option.first_ms),
         )
 
     def _reading_silence_ms(self, exchange, plan):
@@ -197,14 +212,14 @@
         Given up without a budget to read it elsewhere, the prompt would have
         been read in vain.
         """
-        if not self._budgets.has_left(exchange.service, READ_AGAIN_SENDS):
+        if not self._budgets.can_spend(exchange.service, READ_AGAIN_SENDS):
             return None
-        expected = plan.way.wait_ms + plan.way.prompt_ms
+        expected = plan.option.wait_ms + plan.option.prompt_ms
         return PREFILL_PATIENCE * expected + PREFILL_SLACK_MS
 
     async def _prefill(self, exchange, plan):
-        reader = plan.reader
-        prompt_ms = plan.way.prompt_ms
+        reader = plan.prefill_engine
+        prompt_ms = plan.option.prompt_ms
         request = calls.prefill(
             exchange.call,
             reader.endpoint,
@@ -216,20 +231,20 @@
         job = reader.begin_prompt(plan.urgency, prompt_ms)
         was_read = False
         self._tell_prompt(job)
-        silence_ms = self._reading_silence_ms(exchange, plan)
+        silence_timeout_ms = self._reading_silence_ms(exchange, plan)
         try:
             async with sending.send(
-                exchange.call, reader, request, self._now, silence_ms
+                exchange.call, reader, request, self._now, silence_timeout_ms
             ) as sent:
                 body = await sent.read_all()
             was_read = True
-            exchange.reads += 1
+            exchange.prefills += 1
         except exchanges.AttemptFailed as exc:
             # Only the prompt was read, so the request itself has not run.
             exchange.sends += 1
             if exc.reached and exc.verdict is not verdicts.Verdict.NOT_RUN:
-                exchange.reads += 1
-            exchange.tried.add(reader.endpoint.id)
+                exchange.prefills += 1
+            exchange.tried_ids.add(reader.endpoint.id)
             exc.verdict = verdicts.Verdict.NOT_RUN
             raise
         finally:
@@ -241,21 +256,21 @@
             raise exchanges.AttemptFailed(
                 verdicts.Verdict.NOT_RUN, exc.message, reader.endpoint.id
             ) from exc
-        reader.health.worked()
+        reader.health.record_success()
         took_ms = self._now() - started
         self._endpoints.note_read(reader, exchange.call.prompt)
-        if plan.shows_speed:
-            self._endpoints.scales.note(
+        if plan.measures_prefill_speed:
+            self._endpoints.scales.record(
                 exchange.service.name,
-                took_ms - engine_time.READ_ANSWER_MS,
-                plan.unscaled_ms,
+                took_ms - engine_time.PREFILL_ANSWER_MS,
+                plan.unscaled_prefill_ms,
             )
         _log.info(
             "prompt read",
             request=exchange.call.attempt,
             engine=reader.endpoint.id,
             took_ms=took_ms,
-            wait_ms=round(plan.way.wait_ms),
+            wait_ms=round(plan.option.wait_ms),
             prompt_ms=round(prompt_ms),
             urgency=plan.urgency,
         )
@@ -265,16 +280,16 @@
         request = calls.free(prefilled.handle)
         with anyio.move_on_after(clock.seconds(FREE_TIMEOUT_MS)):
             try:
-                await reader.pool.ask(request, sending.ANSWER_LIMIT)
+                await reader.pool.ask(request, sending.MAX_ANSWER_BYTES)
             except client.LinkBroken as exc:
                 _log.info("handle not freed", why=exc.why)
 
     def _note_failure(self, exchange, exc, before_first):
-        exchange.note(exc)
+        exchange.record_failure(exc)
         for state in self._endpoints.of_service(exchange.service.name):
             if state.endpoint.id == exc.endpoint_id and exc.answer is None:
-                state.health.failed(self._now(), exc.absent)
-                self._guard.note_failure(
+                state.health.record_failure(self._now(), exc.absent)
+                self._crash_guard.record_failure(
                     exchange.call, state, exc, before_first
                 )
         _log.info(
@@ -294,9 +309,9 @@
     load.
     """
     sends = 0
-    if exchange.arrivals:
+    if exchange.reached_sends:
         sends += 1
-    if exchange.reads and plan.reader is not None:
+    if exchange.prefills and plan.prefill_engine is not None:
         sends += 1
     return sends
 
@@ -304,7 +319,7 @@
 def _unused_sends(plan, spent, failure):
     """Return how many of the sends that were taken reached nobody."""
     reached = 1 if failure.reached else 0
-    reader = plan.reader
+    reader = plan.prefill_engine
     if reader is not None and failure.endpoint_id == reader.endpoint.id:
         # The stream itself was not asked for.
         return max(0, spent - reached)
@@ -313,9 +328,9 @@
 
 def _reason(exchange):
     """Return what further sends are for, as a label."""
-    if exchange.first_ms is not None:
+    if exchange.first_event_ms is not None:
         return "resume"
-    return "read again" if exchange.reads else "send again"
+    return "read again" if exchange.prefills else "send again"
 
 
 def _source(plan):
--- a/clementinewall/steward/fleet.py
+++ b/clementinewall/steward/fleet.py
@@ -71,7 +71,7 @@
         if role == "auto":
             assignment = self._node.view.assignments_by_id.get(name)
             role = assignment.role if assignment else ""
-        return reconcile.Wanted(endpoint.state, role, endpoint.version)
+        return reconcile.DesiredState(endpoint.state, role, endpoint.version)
 
     async def _reconcile(self, name, endpoint):
         try:
--- a/clementinewall/steward/planner.py
+++ b/clementinewall/steward/planner.py
@@ -150,8 +150,8 @@
         now = self._node.clock.now()
         plan = self._plan_by_model.setdefault(model, roles.ModelPlan(now))
         demand = demand_of(reports_of_model, self._last_report_by_id, elapsed)
-        plan.add(demand, *outcomes.get(model, (0, 0)), elapsed)
-        proposal = plan.consider(
+        plan.record_demand(demand, *outcomes.get(model, (0, 0)), elapsed)
+        proposal = plan.next_change(
             [
                 self._engine_view(name, report)
                 for name, report in reports_of_model.items()
@@ -169,7 +169,7 @@
         return roles.EngineView(
             name,
             report.role,
-            is_away=report.quiesced or report.changing or is_pending,
+            is_unavailable=report.quiesced or report.changing or is_pending,
             may_change=row.role == "auto",
             running=report.running,
         )
@@ -195,7 +195,7 @@
                 error=exc.message,
             )
             return
-        self._plan_by_model[model].changed(self._node.clock.now())
+        self._plan_by_model[model].record_change(self._node.clock.now())
         _log.info(
             "assigned a role"
             if outcome.valid
