--- a/clementinewall/entry/partition.py
+++ b/clementinewall/entry/partition.py
@@ -136,7 +136,7 @@
             self.table.begin(batch.first)
             for offset, record in batch.records:
                 self.table.apply(offset, record)
-            if len(batch.records) < client.READ_LIMIT:
+            if len(batch.records) < client.MAX_READ_RECORDS:
                 self.caught_up = True
             self._wake()
 
--- a/clementinewall/log/__init__.py
+++ b/clementinewall/log/__init__.py
@@ -1,1 +1,1 @@
-"""Reading from and appending to the platform's log."""
+"""Client of the platform's log, and the control stream's follower."""
--- a/clementinewall/log/client.py
+++ b/clementinewall/log/client.py
@@ -1,9 +1,9 @@
 """Client of the platform's log service, and of peers that relay it.
 
 The service speaks HTTP with JSON: ``POST /streams/S/records`` appends one
-record and answers its offset; ``GET /streams/S/records?from=N`` reads on from
-an offset and may wait for the next record.  A relay answers the same read,
-with a folded ``snapshot`` in front when it no longer holds offset ``N``.
+record and returns its offset; ``GET /streams/S/records?from=N`` reads records
+from an offset on and may wait for the next one.  A relay answers the same
+read, with a ``snapshot`` of its state if it no longer holds offset ``N``.
 """
 
 import typing
@@ -16,7 +16,7 @@
 from clementinewall import errors
 from clementinewall import metrics
 
-READ_LIMIT = 1_000
+MAX_READ_RECORDS = 1_000
 
 
 class Entry(typing.NamedTuple):
@@ -27,7 +27,7 @@
 
 
 class RelayedState(typing.NamedTuple):
-    """A relay's folded state in place of the records up to ``as_of``."""
+    """A relay's state in place of the records up to ``as_of``."""
 
     as_of: int
     state: dict[str, typing.Any]
@@ -46,13 +46,13 @@
     """Reads and appends; owns its HTTP connections."""
 
     def __init__(self, settings):
-        """Take the whole settings; connections open when first used."""
+        """Use the settings; connections are opened on first use."""
         self._platform = settings.platform
         self._token = settings.security.control_token
         timeout = clock.seconds(self._platform.request_timeout_ms)
         self._timeout = timeout
         self._http = _http.client(self._platform.request_timeout_ms)
-        self._turn = 0
+        self._failovers = 0
 
     async def aclose(self):
         """Close the connections."""
@@ -61,7 +61,7 @@
     def service(self):
         """Return the address of the log service to use next."""
         addresses = self._platform.log
-        return addresses[self._turn % len(addresses)]
+        return addresses[self._failovers % len(addresses)]
 
     async def append(self, stream, record):
         """Append ``record`` and return its offset.
@@ -73,41 +73,44 @@
         try:
             answer = await self._http.post(url, json=_schema.plain(record))
         except (httpx.ConnectError, httpx.ConnectTimeout) as exc:
-            self._turn += 1
+            self._failovers += 1
             raise errors.LogUnavailable(
-                "the log service is out of reach", retry_after_ms=1_000
+                "the log service is unreachable; record not appended",
+                retry_after_ms=1_000,
             ) from exc
         except httpx.HTTPError as exc:
-            self._turn += 1
+            self._failovers += 1
             raise errors.AppendUnknown(
-                f"the log service did not answer: {type(exc).__name__}",
+                "the log service did not answer the append: "
+                f"{type(exc).__name__}",
                 retry_after_ms=1_000,
             ) from exc
         if answer.status_code != 200:
-            return self._refused(answer)
+            return self._raise_refused(answer)
         return _offset_of(answer)
 
-    def _refused(self, answer):
+    def _raise_refused(self, answer):
         if answer.status_code in (429, 503):
             raise errors.LogUnavailable(
-                f"the log service refused: {answer.status_code}",
+                f"the log service refused the append: {answer.status_code}",
                 retry_after_ms=1_000,
             )
         raise errors.AppendUnknown(
-            f"the log service answered {answer.status_code}"
+            f"the log service answered the append with {answer.status_code}"
         )
 
     async def read(self, stream, start, wait_ms=0, source=None):
-        """Read a batch from ``start`` on; ``source`` may be a peer.
+        """Read a batch from offset ``start`` on, from a peer if given.
 
-        :raises LogUnavailable: the source gave no readable answer.
+        :raises LogUnavailable: the source gave no valid answer.
+        :raises BadRecord: the answer does not have the shape of a batch.
         """
         address = source or self.service()
         path = f"http://{address}/streams/{stream}/records"
         headers = {}
         if source is not None:
             headers["Authorization"] = f"Bearer {self._token}"
-        query = {"from": start, "limit": READ_LIMIT, "wait_ms": wait_ms}
+        query = {"from": start, "limit": MAX_READ_RECORDS, "wait_ms": wait_ms}
         try:
             answer = await self._http.get(
                 path,
@@ -117,7 +120,7 @@
             )
             if answer.status_code != 200:
                 raise errors.LogUnavailable(
-                    f"{address} answered {answer.status_code}"
+                    f"{address} answered the read with {answer.status_code}"
                 )
             metrics.count(
                 "control_bytes", len(answer.content), part="log", way="in"
@@ -125,9 +128,9 @@
             return decode_batch(answer.json())
         except (httpx.HTTPError, ValueError) as exc:
             if source is None:
-                self._turn += 1
+                self._failovers += 1
             raise errors.LogUnavailable(
-                f"{address} cannot be read: {type(exc).__name__}"
+                f"reading from {address} failed: {type(exc).__name__}"
             ) from exc
 
 
@@ -146,7 +149,9 @@
     try:
         offset = answer.json()["offset"]
     except (ValueError, KeyError, TypeError) as exc:
-        raise errors.AppendUnknown("the append's answer is garbled") from exc
+        raise errors.AppendUnknown(
+            "the log service gave no valid offset"
+        ) from exc
     if not isinstance(offset, int):
-        raise errors.AppendUnknown("the append's answer is garbled")
+        raise errors.AppendUnknown("the log service gave no valid offset")
     return offset
--- a/clementinewall/operator/session.py
+++ b/clementinewall/operator/session.py
@@ -226,7 +226,7 @@
             state.begin(batch.first)
             for offset, record in batch.records:
                 state.apply(offset, record)
-            if len(batch.records) < client.READ_LIMIT:
+            if len(batch.records) < client.MAX_READ_RECORDS:
                 return
 
     async def _read_back(self, state, record_id):
--- a/clementinewall/records/__init__.py
+++ b/clementinewall/records/__init__.py
@@ -1,1 +1,1 @@
-"""What the platform's log holds, and the rules by which it is read."""
+"""Records of the platform's log, and the rules for applying them."""
--- a/clementinewall/records/bookings.py
+++ b/clementinewall/records/bookings.py
@@ -2,8 +2,8 @@
 
 A call that may run at most once is dispatched only by the process whose
 intent is the first valid one for its key in the stream, and only after that
-process has read it back.  The order of the log decides between racing
-entries; no lease, clock or owner has to be trusted.  An intent without
+process has read it back.  The log's order decides between racing entries; no
+lease, clock or owner has to be trusted.  The call of an intent without an
 outcome may have run, and no other process ever dispatches it.
 """
 
@@ -14,8 +14,8 @@
 
 from clementinewall import _schema
 
-# Fixed for ever: a key that changed its partition would be taken for new.
-# 32 carry the size of docs/CAPACITY.md within the log's appends.
+# Must never change: a key in another partition would be taken for new.  32
+# partitions carry the load in docs/CAPACITY.md within the log's append rate.
 PARTITIONS = 32
 MAX_KEPT_BODY_CHARS = 16_384
 
@@ -33,7 +33,7 @@
 
 
 class Outcome(typing.NamedTuple):
-    """Ends an intent; the body is kept as text for a resend."""
+    """Ends an intent; the body is kept as text to answer a resend."""
 
     id: str
     key: str
@@ -44,7 +44,7 @@
 
 
 class Commit(typing.NamedTuple):
-    """One record: what a process commits together."""
+    """One record: intents and outcomes that a process commits together."""
 
     by: str
     intents: tuple[Intent, ...] = ()
@@ -53,7 +53,7 @@
 
 
 class Booking(typing.NamedTuple):
-    """What is remembered of a key."""
+    """The intent of a key, with its state and outcome."""
 
     intent: Intent
     offset: int
@@ -68,12 +68,12 @@
 
 
 def scoped_key(caller, key):
-    """Return the key as remembered: callers don't share their keys."""
+    """Return the key qualified by its caller, as the stream has it."""
     return f"{caller}/{key}"
 
 
 def partition_of(key):
-    """Return the partition of a key; a ticket names its own."""
+    """Return the partition of a key; a ticket contains its partition."""
     ticket = read_ticket(key)
     if ticket is not None:
         return ticket[0]
@@ -82,7 +82,7 @@
 
 
 def make_ticket(partition, offset, random_part):
-    """Return a key that knows when, in offsets, it was given out."""
+    """Return a key that contains the stream offset at its creation."""
     return f"t1.{partition}.{offset}.{random_part}"
 
 
@@ -101,10 +101,10 @@
 
 
 class Table:
-    """The fold of one partition's stream."""
+    """The bookings of one partition, built from its stream."""
 
     def __init__(self, limit):
-        """Remember ``limit`` keys; a full table takes no new ones."""
+        """Start empty; a table with ``limit`` keys is full."""
         self.next = 0
         self.first = 0
         self.limit = limit
@@ -116,21 +116,21 @@
         return len(self.booking_by_key) >= self.limit
 
     def begin(self, first):
-        """Forget the keys whose intents the log no longer holds.
+        """Drop the keys whose intents precede the log's oldest offset.
 
-        Everybody forgets at the same offset, so no process remembers a key
-        that another would take for new.
+        Every process drops a key at the same offset, so no process still
+        has a key that another takes for new.
         """
         self.first = max(self.first, first)
         self.next = max(self.next, first)
         while self.booking_by_key:
-            key, kept = next(iter(self.booking_by_key.items()))
-            if kept.offset >= self.first:
+            key, booking = next(iter(self.booking_by_key.items()))
+            if booking.offset >= self.first:
                 return
             del self.booking_by_key[key]
 
     def apply(self, offset, data):
-        """Fold the record at ``offset`` in."""
+        """Apply the record at ``offset``; older offsets are ignored."""
         if offset < self.next:
             return
         self.next = offset + 1
@@ -143,13 +143,13 @@
             self._apply_outcome(outcome)
 
     def is_expired(self, key):
-        """Tell whether the key is a ticket older than the log's memory."""
+        """Tell whether the key is a ticket from before the oldest offset."""
         ticket = read_ticket(key)
         return ticket is not None and ticket[1] < self.first
 
     def _apply_intent(self, offset, intent, by):
-        kept = self.booking_by_key.get(intent.key)
-        if kept is not None and kept.state != "not_run":
+        booking = self.booking_by_key.get(intent.key)
+        if booking is not None and booking.state != "not_run":
             return
         self.booking_by_key[intent.key] = Booking(
             intent, offset, sys.intern(by)
@@ -157,17 +157,17 @@
         self.booking_by_key.move_to_end(intent.key)
 
     def _apply_outcome(self, outcome):
-        kept = self.booking_by_key.get(outcome.key)
-        if kept is None or kept.intent.id != outcome.id:
+        booking = self.booking_by_key.get(outcome.key)
+        if booking is None or booking.intent.id != outcome.id:
             return
-        if kept.state == "open":
-            # The outcome's strings are equal to the intent's; sharing them
-            # saves memory in a table that is kept for long.
-            shared = outcome._replace(
-                id=kept.intent.id,
-                key=kept.intent.key,
+        if booking.state == "open":
+            # The outcome repeats strings of the intent; sharing them saves
+            # memory, since the table keeps its entries for a long time.
+            interned = outcome._replace(
+                id=booking.intent.id,
+                key=booking.intent.key,
                 media_type=sys.intern(outcome.media_type),
             )
-            self.booking_by_key[outcome.key] = kept._replace(
-                state=outcome.state, outcome=shared
+            self.booking_by_key[outcome.key] = booking._replace(
+                state=outcome.state, outcome=interned
             )
--- a/clementinewall/records/configuration.py
+++ b/clementinewall/records/configuration.py
@@ -1,11 +1,11 @@
 """The published configuration: classes of work, endpoints and policy.
 
 A configuration is a map from key to value.  Keys have a fixed first part
-that decides the shape of the value: ``class/NAME``, ``endpoint/ID``,
-``policy`` and, written by the planner, ``assignment/ID``.  Changes name
-single keys, so that two operators who work on different endpoints don't
-meet, and a change of one endpoint out of 2,100 is a record of a few hundred
-bytes.
+that determines the type of the value: ``class/NAME``, ``endpoint/ID``,
+``policy`` and, written by the planner, ``assignment/ID``.  Changes set
+single keys, so that changes by operators to different endpoints do not
+conflict, and a change of one endpoint out of 2,100 is a record of a few
+hundred bytes.
 """
 
 import typing
@@ -21,9 +21,9 @@
     """A class of work and its targets, all in milliseconds.
 
     ``first_ms`` and ``gap_ms`` are the targets of model work for the first
-    token and between tokens; a service call must be whole in ``first_ms``.
-    ``deadline_ms`` ends an attempt to answer at all.  A higher ``priority``
-    is served first when not everything can be.
+    token and between tokens; a service call must be answered completely within
+    ``first_ms``.  After ``deadline_ms`` a request is given up.  Under
+    overload, a higher ``priority`` is served first.
     """
 
     kind: typing.Annotated[str, _schema.OneOf(("model", "service"))]
@@ -36,7 +36,7 @@
 
 
 class Endpoint(typing.NamedTuple):
-    """An engine or a service, and what is wanted of it."""
+    """An engine or a service, with its desired state."""
 
     address: str
     data_centre: str
@@ -57,8 +57,8 @@
 class Policy(typing.NamedTuple):
     """How the deployment weighs goodput against role changes.
 
-    ``change_price`` is how many answers within target must be gained for
-    each second of an engine that a role change takes away.
+    ``change_price`` is the number of answers within target that a role
+    change must gain for each second that it takes an engine out of service.
     """
 
     change_price: NonNegative = 1.0
@@ -66,37 +66,37 @@
     horizon_ms: settings.Millis = 120_000
     min_prefill: typing.Annotated[int, _schema.Range(0, 1_000)] = 1
     min_decode: typing.Annotated[int, _schema.Range(0, 1_000)] = 1
-    # Scopes a data centre's endpoints are divided over.  Changing it moves
-    # endpoints between holders, so it is done while no change is under way.
+    # Number of scopes for the endpoints of a data centre.  A new value moves
+    # endpoints between lease holders, so set it while no change is running.
     shards: typing.Annotated[int, _schema.Range(1, 256)] = 1
 
 
 class Assignment(typing.NamedTuple):
-    """The role that the planner gave to an endpoint of role ``auto``."""
+    """The role that the planner assigned to an ``auto`` endpoint."""
 
     role: typing.Annotated[str, _schema.OneOf(("mixed", "prefill", "decode"))]
     why: str = ""
 
 
-_SHAPE_BY_PREFIX = {
+_TYPE_BY_PREFIX = {
     "class": WorkClass,
     "endpoint": Endpoint,
     "policy": Policy,
     "assignment": Assignment,
 }
-# Keys that operators publish; the planner's own keys are not among them.
+# Prefixes of keys that operators publish; the planner writes the others.
 PUBLISHED_PREFIXES = ("class", "endpoint", "policy")
 
 
 def read_value(key, data):
     """Return the typed value of ``key``, or the mistakes in ``data``."""
     prefix, _, name = key.partition("/")
-    shape = _SHAPE_BY_PREFIX.get(prefix)
-    if shape is None or bool(name) == (prefix == "policy"):
+    value_type = _TYPE_BY_PREFIX.get(prefix)
+    if value_type is None or bool(name) == (prefix == "policy"):
         allowed = "class/NAME, endpoint/ID or policy"
         return None, (_schema.Mistake(key, repr(key), allowed),)
-    value, mistakes = _schema.build(shape, data, key)
-    if not mistakes and shape is Endpoint:
+    value, mistakes = _schema.build(value_type, data, key)
+    if not mistakes and value_type is Endpoint:
         if not settings.is_address(value.address):
             mistake = _schema.Mistake(
                 f"{key}.address", repr(value.address), "IP:port by number"
@@ -132,7 +132,7 @@
 
 
 class View(typing.NamedTuple):
-    """The configuration in force, typed, as the programs use it."""
+    """The active configuration as typed values."""
 
     version: int
     classes_by_name: dict[str, WorkClass]
@@ -144,10 +144,10 @@
 def view(version, value_by_key):
     """Build the view from typed values by key.
 
-    The values are checked when they are folded in; checking a large fleet
-    again at each change would hold up every stream.
+    The values were checked when their records were applied; checking a
+    large fleet again at each change would delay the running streams.
     """
-    named = {prefix: {} for prefix in _SHAPE_BY_PREFIX}
+    named = {prefix: {} for prefix in _TYPE_BY_PREFIX}
     for key, value in value_by_key.items():
         prefix, _, name = key.partition("/")
         named[prefix][name] = value
--- a/clementinewall/records/control.py
+++ b/clementinewall/records/control.py
@@ -1,13 +1,13 @@
 """The ``control`` stream: configuration changes, claims and snapshots.
 
-All agreement is made by readers.  A record names the offsets it expects to
-replace, and every reader applies the records in offset order by the same
-rule: a record whose expectation does not hold is void.  Racing operators,
-doubled appends and late arrivals therefore end alike everywhere, and no
-answer of the log service needs to be trusted.
-
-The fold is a pure function of the stream.  It holds no clock; leases are
-judged by ``clementinewall.steward.leases`` from what is folded here.
+Consistency comes from the readers.  A record names the offsets that it
+expects to replace, and every reader applies the records in offset order by
+the same rule: a record whose expectation does not hold is void.  Races
+between operators, duplicate appends and late arrivals therefore have the
+same result everywhere, whatever answers the log service gave.
+
+The state is a pure function of the stream and uses no clock; the expiry of
+leases is judged by ``clementinewall.steward.leases``.
 """
 
 import collections
@@ -17,11 +17,11 @@
 from clementinewall.records import configuration
 
 STREAM = "control"
-# Outcomes of recent records by id, for those who wait for their own.
-OUTCOMES_LIMIT = 4_096
-# Records held while no snapshot has been seen.  A reader that needs more
-# than this many is behind by more than the log is meant to keep.
-WAITING_LIMIT = 100_000
+# Outcomes of recent records are kept for the processes that wait for them.
+MAX_OUTCOMES = 4_096
+# Records buffered until a snapshot is read.  A reader that needs more lags
+# by more than the log is meant to keep.
+MAX_BUFFERED_RECORDS = 100_000
 NO_OFFSET = -1
 
 
@@ -36,12 +36,12 @@
 
 
 class Claim(typing.NamedTuple):
-    """Takes a scope over from the claim at offset ``expects``.
+    """Takes over a scope from the claim at offset ``expects``.
 
-    ``after`` is the last renewal of that claim which the claimant saw.  A
-    renewal that reaches the log in between makes the new claim void, so a
-    holder that reads its own renewal back knows that no challenge older
-    than the renewal can still succeed.
+    ``after`` is the last renewal of that claim that the claimant has read.
+    A renewal that reaches the log after it makes the new claim void, so a
+    holder that reads back its own renewal knows that no claim made before
+    the renewal was read can still succeed.
     """
 
     id: str
@@ -65,7 +65,7 @@
 
 
 class Release(typing.NamedTuple):
-    """Gives claims up, so that others need not wait out the lease."""
+    """Gives up claims, so that others need not wait for their expiry."""
 
     id: str
     claims: dict[str, int]
@@ -73,7 +73,7 @@
 
 
 class Snapshot(typing.NamedTuple):
-    """The state folded up to and including the offset ``as_of``."""
+    """The state up to and including the offset ``as_of``."""
 
     id: str
     as_of: int
@@ -82,10 +82,10 @@
 
 
 class Lease(typing.NamedTuple):
-    """The current claim on a scope; its offset is the fencing token.
+    """The lease on a scope; the claim's offset is the fencing token.
 
-    ``address`` is the holder's control address: with it in the claim, no
-    process needs to know the members of other data centres to reach it.
+    ``address`` is the holder's control address, so that processes can reach
+    it without knowing the members of its data centre.
     """
 
     offset: int
@@ -97,14 +97,14 @@
 
 
 class Outcome(typing.NamedTuple):
-    """What became of a record: valid or void, and why."""
+    """The result of a record: valid or void, and the reason."""
 
     offset: int
     valid: bool
     reason: str = ""
 
 
-_SHAPE_BY_KIND = {
+_TYPE_BY_KIND = {
     "change": Change,
     "claim": Claim,
     "renewal": Renewal,
@@ -116,22 +116,22 @@
 def decode(data):
     """Return the record in ``data``, or ``None`` if it has no known shape.
 
-    A record nobody can read is void for everybody; it must not end a
-    process, since it would end all of them and again at each start.
+    An unreadable record is void for every reader; it must not crash a
+    process, since it would crash all of them, and again at each start.
     """
     kind = data.get("kind") if isinstance(data, dict) else None
-    shape = _SHAPE_BY_KIND.get(kind) if isinstance(kind, str) else None
-    if shape is None:
+    record_type = _TYPE_BY_KIND.get(kind) if isinstance(kind, str) else None
+    if record_type is None:
         return None
-    value, mistakes = _schema.build(shape, data)
+    value, mistakes = _schema.build(record_type, data)
     return None if mistakes else value
 
 
 class State:
-    """The fold of the control stream."""
+    """The state built by applying the control stream in order."""
 
     def __init__(self):
-        """Start without knowledge: not even that the stream is empty."""
+        """Start unknown: the stream may hold records or be empty."""
         self.known = False
         self.next = 0
         self.version = NO_OFFSET
@@ -140,45 +140,47 @@
         self.offset_by_key = {}
         self.held_by_scope = {}
         self.outcome_by_id = collections.OrderedDict()
-        self._waiting = []
+        self._buffered = []
         self._value_by_key = {}
         self._view = None
 
     @property
     def view(self):
-        """The typed configuration in force."""
+        """The active configuration as typed values."""
         if self._view is None or self._view.version != self.version:
             self._view = configuration.view(self.version, self._value_by_key)
         return self._view
 
     def begin(self, first):
-        """Tell the fold that the oldest record to be had is at ``first``.
+        """Set the oldest offset that can be read.
 
-        From offset 0 the empty state is the truth.  From anywhere later
-        something is missing, and records wait until a snapshot covers it.
+        From offset 0 the stream is complete and the empty state is correct.
+        From a later offset, records are missing, and those that follow are
+        buffered until a snapshot covers the gap.
         """
         if first <= self.next:
             self.known = self.known or self.next == 0
             return
-        # The log has dropped records that this reader never saw, as after
-        # a long pause.  The old state stays visible but is not built upon.
+        # The log has dropped records that this reader has not read, as after
+        # a long pause.  The old state stays visible, but no records are
+        # applied to it.
         self.known = False
-        self._waiting = []
+        self._buffered = []
         self.next = first
 
     def apply(self, offset, data):
-        """Fold the record at ``offset`` in; older offsets are ignored."""
+        """Apply the record at ``offset``; older offsets are ignored."""
         if offset < self.next:
             return
         self.next = offset + 1
         record = decode(data)
         if not self.known:
-            self._wait(offset, record)
+            self._buffer(offset, record)
             return
-        self._fold(offset, record)
+        self._apply(offset, record)
 
     def adopt(self, state, as_of):
-        """Take over a folded state, unless it is older than our own."""
+        """Replace the state by a dumped one; return whether it was newer."""
         if self.known and as_of < self.next:
             return False
         loaded = _load(state)
@@ -186,14 +188,14 @@
             return False
         self.version, self.data_by_key, self.offset_by_key, held = loaded
         self.held_by_scope = held
-        self._value_by_key = _readable(self.data_by_key)
+        self._value_by_key = _parse_valid(self.data_by_key)
         self.known = True
         self._view = None
-        later = [item for item in self._waiting if item[0] > as_of]
-        self._waiting = []
+        later = [item for item in self._buffered if item[0] > as_of]
+        self._buffered = []
         self.next = max(self.next, as_of + 1)
         for offset, record in later:
-            self._fold(offset, record)
+            self._apply(offset, record)
         return True
 
     def dump(self):
@@ -208,34 +210,34 @@
             },
         }
 
-    def _wait(self, offset, record):
+    def _buffer(self, offset, record):
         if isinstance(record, Snapshot):
-            self._waiting.append((offset, record))
+            self._buffered.append((offset, record))
             self.adopt(record.state, record.as_of)
             self.snapshot_at = offset
-        elif record is not None and len(self._waiting) < WAITING_LIMIT:
-            self._waiting.append((offset, record))
+        elif record is not None and len(self._buffered) < MAX_BUFFERED_RECORDS:
+            self._buffered.append((offset, record))
 
-    def _fold(self, offset, record):
+    def _apply(self, offset, record):
         if record is None:
             return
-        reason = _FOLD_BY_TYPE[type(record)](self, offset, record)
+        reason = _APPLY_BY_TYPE[type(record)](self, offset, record)
         self.outcome_by_id[record.id] = Outcome(offset, not reason, reason)
-        while len(self.outcome_by_id) > OUTCOMES_LIMIT:
+        while len(self.outcome_by_id) > MAX_OUTCOMES:
             self.outcome_by_id.popitem(last=False)
 
-    def _fold_change(self, offset, record):
+    def _apply_change(self, offset, record):
         earlier = self.outcome_by_id.get(record.id)
         if earlier is not None:
-            # The same record appended twice after a lost answer: the first
-            # copy decided.  Its outcome is what the author must hear.
+            # A record appended twice after a lost answer: the first copy
+            # took effect, and its outcome is the one to report.
             return "" if earlier.valid else earlier.reason
         for key in record.sets:
             current = self.offset_by_key.get(key, NO_OFFSET)
             expected = record.expects.get(key, NO_OFFSET)
             if current != expected:
                 return f"{key} is at {current}, the change expects {expected}"
-        values = _typed(record.sets)
+        values = _parse_all(record.sets)
         if values is None:
             return "a value has the wrong shape"
         for key, data in record.sets.items():
@@ -250,7 +252,7 @@
         self.version = offset
         return ""
 
-    def _fold_claim(self, offset, record):
+    def _apply_claim(self, offset, record):
         held = self.held_by_scope.get(record.scope)
         if held is not None and held.offset > record.expects:
             return f"{record.scope} is claimed at {held.offset}"
@@ -265,7 +267,7 @@
         )
         return ""
 
-    def _fold_renewal(self, offset, record):
+    def _apply_renewal(self, offset, record):
         lost = []
         for scope, claim in record.claims.items():
             held = self.held_by_scope.get(scope)
@@ -275,7 +277,7 @@
                 self.held_by_scope[scope] = held._replace(renewed=offset)
         return f"lost {', '.join(lost)}" if lost else ""
 
-    def _fold_release(self, offset, record):
+    def _apply_release(self, offset, record):
         for scope, claim in record.claims.items():
             held = self.held_by_scope.get(scope)
             if held is not None and held.offset == claim:
@@ -284,31 +286,31 @@
                 )
         return ""
 
-    def _fold_snapshot(self, offset, _record):
-        # A snapshot says nothing that a reader of the whole stream does
-        # not know, so it never replaces anything here.
+    def _apply_snapshot(self, offset, _record):
+        # A reader of the complete stream already has all that a snapshot
+        # holds, so the state does not change.
         self.snapshot_at = offset
         return ""
 
 
-_FOLD_BY_TYPE = {
-    Change: State._fold_change,
-    Claim: State._fold_claim,
-    Renewal: State._fold_renewal,
-    Release: State._fold_release,
-    Snapshot: State._fold_snapshot,
+_APPLY_BY_TYPE = {
+    Change: State._apply_change,
+    Claim: State._apply_claim,
+    Renewal: State._apply_renewal,
+    Release: State._apply_release,
+    Snapshot: State._apply_snapshot,
 }
 
 
-def _typed(data_by_key):
+def _parse_all(data_by_key):
     """Return the typed values by key, or ``None`` if one is malformed."""
     present = {k: data for k, data in data_by_key.items() if data is not None}
-    values = _readable(present)
+    values = _parse_valid(present)
     return values if len(values) == len(present) else None
 
 
-def _readable(data_by_key):
-    """Return the typed values of those keys that have the right shape."""
+def _parse_valid(data_by_key):
+    """Return the typed values by key, without the malformed ones."""
     values = {}
     for key, data in data_by_key.items():
         value, mistakes = configuration.read_value(key, data)
--- a/clementinewall/steward/leases.py
+++ b/clementinewall/steward/leases.py
@@ -101,22 +101,22 @@
             return False
         return self._now() - observation.at < self._leases.lease_ms
 
-    def challenge(self, scope, delay_ms=0):
+    def challenge(self, scope, patience_ms=0):
         """Return ``(expects, after)`` for a claim, or ``None`` to wait.
 
-        ``delay_ms`` is added to the wait, so that preferred processes claim
+        ``patience_ms`` is added to the wait, so that preferred processes claim
         first.
         """
         now = self._now()
         first = self._first_seen_by_scope.setdefault(scope, now)
         observation = self._observation_by_scope.get(scope)
         if observation is None:
-            return (-1, -1) if now - first >= delay_ms else None
+            return (-1, -1) if now - first >= patience_ms else None
         expects = (observation.lease.offset, observation.lease.renewed)
         if observation.lease.released:
-            return expects if now - observation.at >= delay_ms else None
+            return expects if now - observation.at >= patience_ms else None
         if observation.lease.boot == self._boot:
             return None
         leases = self._leases
         wait = leases.lease_ms + leases.margin_ms + leases.order_timeout_ms
-        return expects if now - observation.at >= wait + delay_ms else None
+        return expects if now - observation.at >= wait + patience_ms else None
--- a/tests/records/test_bookings.py
+++ b/tests/records/test_bookings.py
@@ -1,4 +1,4 @@
-"""The bookings streams: at most one dispatch a key, by log order alone."""
+"""Bookings streams: at most one dispatch per key, by log order alone."""
 
 import unittest
 
@@ -14,10 +14,10 @@
 
 
 class AtMostOnce(stateful.RuleBasedStateMachine):
-    """Processes announce, read at their own pace, dispatch, crash.
+    """Processes append intents, read with delays, dispatch and crash.
 
-    Appends may be lost or doubled.  A process dispatches a call only when
-    its own intent is the key's open one in what it has read.
+    Appends may be lost or duplicated.  A process dispatches a call only when
+    its own intent is the open one for the key in what it has read.
     """
 
     def __init__(self):
@@ -34,10 +34,10 @@
         key=st.sampled_from(KEYS),
         copies=st.sampled_from([1, 2, 0]),
     )
-    def announce(self, p, key, copies):
+    def append_intent(self, p, key, copies):
         """Append an intent, or append it twice, or lose it."""
-        kept = self.table[p].booking_by_key.get(key)
-        if kept is not None and kept.state != "not_run":
+        booking = self.table[p].booking_by_key.get(key)
+        if booking is not None and booking.state != "not_run":
             return
         self.serial += 1
         intent = bookings.Intent(str(self.serial), key, "d")
@@ -48,7 +48,7 @@
     @stateful.precondition(lambda self: self._behind())
     @stateful.rule(data=st.data(), count=st.sampled_from([1, 2, 9]))
     def read(self, data, count):
-        """Read on a little, and dispatch what may be dispatched."""
+        """Read some records, then dispatch the calls that are allowed."""
         p = data.draw(st.sampled_from(self._behind()))
         table = self.table[p]
         for offset in range(table.next, table.next + count):
@@ -61,9 +61,9 @@
         return [p for p in PROCESSES if self.table[p].next < end]
 
     def _dispatch(self, p, ran):
-        for key, kept in self.table[p].booking_by_key.items():
-            intent = self.own[p].pop(kept.intent.id, None)
-            if intent is None or kept.state != "open":
+        for key, booking in self.table[p].booking_by_key.items():
+            intent = self.own[p].pop(booking.intent.id, None)
+            if intent is None or booking.state != "open":
                 continue
             if ran:
                 self.runs[key] = self.runs.get(key, 0) + 1
@@ -91,12 +91,12 @@
 
 
 class TableTest(unittest.TestCase):
-    """Forgetting, tickets and foreign outcomes."""
+    """Dropped keys, tickets and outcomes of other intents."""
 
-    def test_a_forgotten_ticket_is_known_to_be_old(self):
-        """A caller resends with a ticket after the log dropped its intent.
+    def test_a_ticket_whose_intent_was_dropped_is_expired(self):
+        """A call could run twice if its dropped ticket were taken for new.
 
-        Taken for new, the call would run a second time.
+        The caller resends with a ticket after the log dropped its intent.
         """
         table = bookings.Table(10)
         ticket = "caller/" + bookings.make_ticket(3, 5, "r")
@@ -109,10 +109,11 @@
         self.assertTrue(table.is_expired(ticket))
         self.assertEqual(3, bookings.partition_of(ticket))
 
-    def test_a_late_outcome_of_another_intent_ends_nothing(self):
-        """A process that gave up its intent concludes it late.
+    def test_an_outcome_of_another_intent_leaves_the_booking_open(self):
+        """A running call could be marked as not run and dispatched again.
 
-        Meanwhile another intent holds the key and must stay open.
+        A process appends the outcome of an intent that lost its key to
+        another one, which must stay open.
         """
         table = bookings.Table(10)
         first = bookings.Intent("1", "k", "d")
@@ -123,9 +124,9 @@
 
     @hypothesis.given(st.text(max_size=40))
     def test_any_key_has_a_partition(self, key):
-        """Whatever a caller sends as a key, it belongs somewhere."""
-        part = bookings.partition_of(key)
-        self.assertIn(part, range(bookings.PARTITIONS))
+        """Every key that a caller may send maps to a valid partition."""
+        partition = bookings.partition_of(key)
+        self.assertIn(partition, range(bookings.PARTITIONS))
 
 
 if __name__ == "__main__":
--- a/tests/records/test_control.py
+++ b/tests/records/test_control.py
@@ -1,4 +1,4 @@
-"""The fold of the control stream, over any order and copies of records."""
+"""The state of the control stream under reordered and copied records."""
 
 import unittest
 
@@ -69,7 +69,7 @@
 ).map(lambda rows: [_schema.plain(row) for row in rows])
 
 
-def fold(records):
+def state_after(records):
     """Return the state after the records from offset 0."""
     state = control.State()
     state.begin(0)
@@ -78,12 +78,12 @@
     return state
 
 
-class FoldTest(unittest.TestCase):
-    """Every reader reaches the same state, however it got the records."""
+class StateTest(unittest.TestCase):
+    """Every reader reaches the same state, however it reads the stream."""
 
     @hypothesis.given(RECORDS, st.lists(st.integers(0, 13), max_size=20))
     def test_repeated_offsets_change_nothing(self, records, repeats):
-        """A batch that is read again, or late, leaves the state alone."""
+        """Records that are read again, or late, do not change the state."""
         state = control.State()
         state.begin(0)
         for offset, record in enumerate(records):
@@ -91,20 +91,22 @@
             for again in repeats:
                 if again <= offset:
                     state.apply(again, records[again])
-        self.assertEqual(fold(records).dump(), state.dump())
+        self.assertEqual(state_after(records).dump(), state.dump())
 
     @hypothesis.given(RECORDS, st.integers(0, 14), st.integers(0, 14))
-    def test_a_snapshot_stands_for_what_it_folds(self, records, cut, gap):
-        """A reader that starts behind a snapshot catches up exactly.
-
-        The log dropped the first records.  The snapshot was written some
-        records after the offset that it folds up to, as when a change
-        comes in while the snapshot is under way.
+    def test_a_snapshot_replaces_the_records_before_it(
+        self, records, cut, gap
+    ):
+        """A reader that starts from a snapshot could miss later records.
+
+        The log dropped the first records.  The snapshot was appended some
+        records after the offset that it covers, as happens when a change is
+        appended while the snapshot is being written.
         """
         cut = min(cut, len(records))
         written = min(cut + gap, len(records))
         snapshot = control.Snapshot(
-            "snap", cut - 1, fold(records[:cut]).dump()
+            "snap", cut - 1, state_after(records[:cut]).dump()
         )
         stream = list(records)
         stream.insert(written, _schema.plain(snapshot))
@@ -116,23 +118,23 @@
         reader.begin(first)
         for offset in range(first, len(stream)):
             reader.apply(offset, stream[offset])
-        whole = fold(stream)
-        self.assertEqual(whole.dump(), reader.dump())
-        self.assertEqual(whole.next, reader.next)
+        full = state_after(stream)
+        self.assertEqual(full.dump(), reader.dump())
+        self.assertEqual(full.next, reader.next)
 
     @hypothesis.given(RECORDS)
     def test_an_older_state_replaces_nothing(self, records):
-        """A peer that lags behind cannot turn a reader back."""
-        state = fold(records)
+        """A lagging peer must not set a reader back to an older state."""
+        state = state_after(records)
         before = state.dump()
         for cut in range(len(records)):
-            adopted = state.adopt(fold(records[:cut]).dump(), cut - 1)
+            adopted = state.adopt(state_after(records[:cut]).dump(), cut - 1)
             self.assertFalse(adopted)
         self.assertEqual(before, state.dump())
 
     @hypothesis.given(RECORDS)
     def test_versions_only_grow(self, records):
-        """No record takes the configuration back to an earlier version."""
+        """No record sets the configuration back to an earlier version."""
         state = control.State()
         state.begin(0)
         last = -1
@@ -143,7 +145,7 @@
 
     @hypothesis.given(RECORDS)
     def test_fencing_tokens_only_grow(self, records):
-        """A scope's later claim has the larger offset."""
+        """A later claim on a scope has a larger offset."""
         state = control.State()
         state.begin(0)
         last = {}
@@ -154,7 +156,10 @@
                 last[scope] = held.offset
 
     def test_one_of_two_racing_operators_loses(self):
-        """Both read the same version; the second in the log is void."""
+        """One change could overwrite another unseen.
+
+        Both operators read the same version; the second record is void.
+        """
         value = VALUE_BY_PREFIX["endpoint"]
         rows = [
             control.Change(
@@ -164,28 +169,29 @@
                 "2", "b", {"endpoint/e1": -1}, {"endpoint/e1": value}
             ),
         ]
-        state = fold([_schema.plain(row) for row in rows])
+        state = state_after([_schema.plain(row) for row in rows])
         self.assertTrue(state.outcome_by_id["1"].valid)
         self.assertFalse(state.outcome_by_id["2"].valid)
         self.assertIn("at 0", state.outcome_by_id["2"].reason)
 
-    def test_a_doubled_append_is_heard_as_the_first(self):
-        """The answer to an append is lost and the client sends it again.
+    def test_a_duplicate_append_gets_the_outcome_of_the_first(self):
+        """An operator could get a conflict with their own change.
 
-        An operator would be told of a conflict with his own change.
+        The answer to an append is lost and the client sends it again.
         """
         row = control.Change(
             "1", "a", {"policy": -1}, {"policy": {"change_price": 2.0}}
         )
-        state = fold([_schema.plain(row), _schema.plain(row)])
+        state = state_after([_schema.plain(row), _schema.plain(row)])
         self.assertTrue(state.outcome_by_id["1"].valid)
         self.assertEqual(0, state.version)
 
-    def test_a_renewal_defeats_an_older_challenge(self):
-        """The holder renews while a challenger's claim is on its way.
+    def test_a_renewal_makes_an_earlier_challenge_void(self):
+        """Two stewards could send orders in one scope.
 
-        Were the claim valid, the holder would trust the lease that it read
-        back while another gives orders in the same scope.
+        The holder renews while a challenger's claim is in flight.  If that
+        claim were valid, the holder would still rely on the lease that its
+        renewal extended.
         """
         rows = [
             control.Claim("1", "s", "x", "bx", "127.0.0.1:1", -1, -1),
@@ -193,19 +199,20 @@
             control.Claim("3", "s", "y", "by", "127.0.0.1:2", 0, 0),
             control.Claim("4", "s", "y", "by", "127.0.0.1:2", 0, 1),
         ]
-        state = fold([_schema.plain(row) for row in rows])
+        state = state_after([_schema.plain(row) for row in rows])
         self.assertFalse(state.outcome_by_id["3"].valid)
         self.assertTrue(state.outcome_by_id["4"].valid)
         self.assertEqual("y", state.held_by_scope["s"].holder)
 
     def test_a_gap_keeps_the_old_state_visible(self):
-        """A process wakes after so long that the log dropped records.
+        """Callers could lose the configuration, or get a wrong one.
 
-        It must not build on what it knew, and its callers must not lose
-        the configuration that was in force.
+        A process resumes after a pause so long that the log dropped records.
+        It must not apply later records to its old state, and must keep that
+        state visible.
         """
         row = control.Change("1", "a", {"policy": -1}, {"policy": {}})
-        state = fold([_schema.plain(row)])
+        state = state_after([_schema.plain(row)])
         state.begin(50)
         state.apply(50, _schema.plain(row._replace(id="2")))
         self.assertFalse(state.known)
