--- a/clementinewall/gateway/callers.py
+++ b/clementinewall/gateway/callers.py
@@ -23,15 +23,17 @@
 class Callers:
     """Serves the callers' connections of this gateway."""
 
-    def __init__(self, beliefs, budgets, guard, plain, streams, drain, now):
+    def __init__(
+        self, fleet_view, budgets, crash_guard, plain, streams, drain, now
+    ):
         """Dispatch requests to the relays ``plain`` and ``streams``.
 
         ``drain`` decides which requests can be finished before the process
         stops; ``now`` returns the time in ms.
         """
-        self._beliefs = beliefs
+        self._fleet_view = fleet_view
         self._budgets = budgets
-        self._guard = guard
+        self._crash_guard = crash_guard
         self._plain = plain
         self._streams = streams
         self._now = now
@@ -70,8 +72,8 @@
     async def serve(self, stream):
         """Serve one connection until it closes."""
         limits = server.Limits()
-        if self._beliefs.configuration is not None:
-            limits = self._beliefs.configuration.limits
+        if self._fleet_view.configuration is not None:
+            limits = self._fleet_view.configuration.limits
         connection = server.Connection(stream, limits)
         self._connections.add(connection)
         if self._drain.is_on:
@@ -149,7 +151,7 @@
             await self._fail(connection, request, exchange, error)
 
     def _exchange(self, connection, call):
-        configuration = self._beliefs.configuration
+        configuration = self._fleet_view.configuration
         if configuration is None:
             raise errors.NotReady("no configuration is known yet")
         route = configuration.route_for(call.host, call.path)
@@ -163,7 +165,7 @@
                 f"no service is configured for route {route.name}"
             )
         self._budgets.count_request(service)
-        self._guard.check(call)
+        self._crash_guard.check(call)
         exchange = exchanges.Exchange(
             connection, call, route, service, self._now
         )
--- a/clementinewall/gateway/placing.py
+++ b/clementinewall/gateway/placing.py
@@ -58,12 +58,12 @@
 class Placer:
     """Chooses engines for model requests."""
 
-    def __init__(self, settings, endpoints, peers, membership, now):
+    def __init__(self, settings, endpoints, peers, cell_membership, now):
         """Use the known engines and the work that peers announced there."""
         self._link_mbps = settings.link_mbps
         self._endpoints = endpoints
         self._peers = peers
-        self._membership = membership
+        self._cell_membership = cell_membership
         self._now = now
         self._probed_at = None
 
@@ -90,7 +90,7 @@
         prompt = exchange.call.prompt or EMPTY_PROMPT
         cached = max(
             (
-                s.cache.leading_tokens(prompt.parts[:-1])
+                s.cache.cached_prefix_tokens(prompt.parts[:-1])
                 for s in states.values()
             ),
             default=0,
@@ -144,7 +144,7 @@
         a stage while other cells have headroom.  The work in other cells is
         unknown here, so engines are drawn from them at random.
         """
-        close = self._membership.own_engines(engines)
+        close = self._cell_membership.cell_engines(engines)
         found = list(close)
         for stage in domain.STAGES:
             in_cell = [s for s in close if s.endpoint.stage == stage]
@@ -164,7 +164,7 @@
 
     def _cache_holder(self, prompt, states):
         """Return a cache holder of the prompt prefix outside the cell."""
-        holder = self._endpoints.keepers.find(prompt.parts[:-1])
+        holder = self._endpoints.cache_holders.find(prompt.parts[:-1])
         if holder is None or holder.endpoint_id in states:
             return None
         state = self._endpoints.find(holder.endpoint_id)
@@ -229,7 +229,7 @@
             wait_ms=wait_ms,
             streams=streams,
             slots=max(1, endpoint.slots),
-            cached=state.cache.leading_tokens(prompt.parts[:-1]),
+            cached=state.cache.cached_prefix_tokens(prompt.parts[:-1]),
             slowness=state.health.slowness
             if state.is_usable()
             else UNUSABLE_SLOWNESS,
--- a/clementinewall/gateway/stream_relay.py
+++ b/clementinewall/gateway/stream_relay.py
@@ -41,7 +41,7 @@
         placer,
         announce_prompt,
         budgets,
-        guard,
+        crash_guard,
         drain,
         group,
         now,
@@ -56,7 +56,7 @@
         self._placer = placer
         self._announce_prompt = announce_prompt
         self._budgets = budgets
-        self._guard = guard
+        self._crash_guard = crash_guard
         self._group = group
         self._now = now
 
@@ -312,7 +312,7 @@
         for state in self._endpoints.of_service(exchange.service.name):
             if state.endpoint.id == exc.endpoint_id and exc.answer is None:
                 state.health.record_failure(self._now(), exc.absent)
-                self._guard.note_failure(
+                self._crash_guard.record_failure(
                     exchange.call, state, exc, before_first
                 )
         _log.info(
