--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -98,11 +98,11 @@
     now = time.monotonic_ns() // 1_000_000
     jobs = (prefill_queue.Job(1, 33.0, now),) * 2
     work = {f"i-{n:08x}": peer_messages.Work(jobs, 4, now) for n in range(4)}
-    sign = peer_messages.Sign(PEER_IP, f"{PEER_IP}:1", "a", True, now)
-    state = peer_messages.State(sign, work, {})
+    sign = peer_messages.Heartbeat(PEER_IP, f"{PEER_IP}:1", "a", True, now)
+    state = peer_messages.GatewayState(sign, work, {})
     raw = peer_messages.dump(
         {
-            "state": peer_messages.state(state, now),
+            "state": peer_messages.encode_state(state, now),
             "read": [],
             "marks": [],
         }
--- a/clementinewall/gateway/cache_sync.py
+++ b/clementinewall/gateway/cache_sync.py
@@ -75,13 +75,15 @@
         self._cell_membership = cell_membership
         self._group = group
         self._now = now
-        self._cursor_by_life = {}
+        self._cursor_by_incarnation = {}
 
     async def run(self):
         """Ask until cancelled."""
         # Before the other gateways are known all engines seem to be of the
         # own cell.
-        while not (self._fleet_view.is_ready and self._peers.table.is_whole):
+        while not (
+            self._fleet_view.is_ready and self._peers.table.is_complete
+        ):
             await anyio.sleep(clock.seconds(START_POLL_INTERVAL_MS))
         self._cell_membership.update(self._peers.table.members())
         while True:
@@ -90,18 +92,18 @@
 
     def _look(self):
         """Begin the questions that are due."""
-        cursor_by_life = {}
+        cursor_by_incarnation = {}
         followers = self._followers()
         for state in self._engines():
-            life = state.endpoint.incarnation_key
-            cursor = self._cursor_by_life.get(life) or _Cursor()
-            cursor_by_life[life] = cursor
+            incarnation = state.endpoint.incarnation_key
+            cursor = self._cursor_by_incarnation.get(incarnation) or _Cursor()
+            cursor_by_incarnation[incarnation] = cursor
             if cursor.is_asking or self._now() < cursor.due_at:
                 continue
             if cursor.next is None or self._follows(state, followers):
                 cursor.is_asking = True
                 self._group.start_soon(self._ask, state, cursor)
-        self._cursor_by_life = cursor_by_life
+        self._cursor_by_incarnation = cursor_by_incarnation
 
     def _engines(self):
         configuration = self._fleet_view.configuration
@@ -152,7 +154,7 @@
         dropped = 0
         if cursor.epoch is None:
             # What peers told since the start may be newer than the list.
-            self._endpoints.learn_kept(state, kept.parts)
+            self._endpoints.apply_cached_parts(state, kept.parts)
         else:
             dropped = self._endpoints.replace_cache(state, kept.parts)
         cursor.epoch, cursor.next = kept.epoch, kept.next
@@ -174,7 +176,7 @@
             cursor.due_at = self._now()
             return
         cursor.next = changes.next
-        self._endpoints.follow_cache(state, changes.parts)
+        self._endpoints.apply_cache_changes(state, changes.parts)
 
     async def _body(self, state, request):
         head, body = await state.pool.ask(request, sending.MAX_ANSWER_BYTES)
--- a/clementinewall/gateway/cell_membership.py
+++ b/clementinewall/gateway/cell_membership.py
@@ -15,7 +15,7 @@
         self._ip = settings.ip
         self._fleet_view = fleet_view
         self._cell = cells.Cell(frozenset((self._ip,)), frozenset())
-        self._dealt = None
+        self._assigned = None
 
     def update(self, live_ips):
         """Deal anew among the gateways that were heard lately."""
@@ -24,10 +24,10 @@
             for endpoint in self._fleet_view.endpoint_by_id.values()
             if endpoint.stage in domain.STAGES and not endpoint.draining
         ]
-        dealt = frozenset(live_ips), frozenset(engines)
-        if dealt == self._dealt:
+        assigned = frozenset(live_ips), frozenset(engines)
+        if assigned == self._assigned:
             return
-        self._dealt = dealt
+        self._assigned = assigned
         cell = cells.assign(self._ip, {self._ip, *live_ips}, engines)
         if cell == self._cell:
             return
@@ -51,8 +51,8 @@
     def cell_engines(self, states):
         """Return those of the cell, or all where it has none."""
         own = [s for s in states if self.is_cell_engine(s)]
-        return own if _has_decoder(own) else states
+        return own if _has_decode_engine(own) else states
 
 
-def _has_decoder(states):
+def _has_decode_engine(states):
     return any(s.endpoint.stage == domain.DECODE for s in states)
--- a/clementinewall/gateway/crash_guard.py
+++ b/clementinewall/gateway/crash_guard.py
@@ -48,9 +48,9 @@
             return
         if failure.verdict is not verdicts.Verdict.MAY_HAVE_RUN:
             return
-        life = f"{state.endpoint.id}/{state.endpoint.incarnation}"
+        incarnation = f"{state.endpoint.id}/{state.endpoint.incarnation}"
         digest = _digest(call)
-        if self._table.add(digest, life, strong=before_first):
+        if self._table.add(digest, incarnation, strong=before_first):
             _log.info(
                 "endpoint broke off under a request",
                 request=call.attempt,
--- a/clementinewall/gateway/datagrams.py
+++ b/clementinewall/gateway/datagrams.py
@@ -13,7 +13,7 @@
 _log = logs.PartLog("peers")
 
 
-class Datagrams(asyncio.DatagramProtocol):
+class DatagramSocket(asyncio.DatagramProtocol):
     """Sends datagrams and hands over those that come."""
 
     def __init__(self, port, take):
@@ -55,7 +55,7 @@
     loop = asyncio.get_running_loop()
     try:
         _, datagrams = await loop.create_datagram_endpoint(
-            lambda: Datagrams(port, take),
+            lambda: DatagramSocket(port, take),
             local_addr=(ip, port),
             family=socket.AF_INET,
         )
--- a/clementinewall/gateway/endpoints.py
+++ b/clementinewall/gateway/endpoints.py
@@ -16,55 +16,55 @@
 # that time of its target.
 CONNECT_TIMEOUT_MS = 200
 # With work open, an endpoint that says nothing for so long is taken for dead.
-SILENT_MS = 1_000
+RESPONSE_TIMEOUT_MS = 1_000
 
 
-class State:
+class EndpointState:
     """One life of an endpoint."""
 
     def __init__(self, endpoint, now):
         """Begin with no connection and no work."""
         self.endpoint = endpoint
         self._now = now
-        self._quiet_since = None
+        self._last_response_at = None
         self.pool = client.Pool(endpoint.address, now, CONNECT_TIMEOUT_MS)
         self.health = endpoint_health.Health()
         self.open = 0
         self.streams = 0
         self.jobs = []
-        self.last_end = now()
+        self.last_prefill_end = now()
         self.load = None
         self.load_at = None
         # Until when the engine changes its stage and takes no work.
-        self.away_until = 0
+        self.unavailable_until = 0
         self.cache = cache_view.CacheView()
 
     def begin(self):
         """Count a request that is sent now."""
         if not self.open:
-            self._quiet_since = self._now()
+            self._last_response_at = self._now()
         self.open += 1
 
     def end(self):
         """Count the end of a request."""
         self.open -= 1
 
-    def heard(self):
+    def record_response(self):
         """Note that the endpoint said something."""
-        self._quiet_since = self._now()
+        self._last_response_at = self._now()
 
     def is_usable(self):
         """Tell whether new work may go there."""
         now = self._now()
-        if now < self.away_until or self._is_silent():
+        if now < self.unavailable_until or self._is_timed_out():
             return False
         return self.health.is_usable(now)
 
-    def is_gone(self):
+    def is_unavailable(self):
         """Tell whether nothing that is sent there would be answered."""
-        return self._now() < self.away_until or self.is_lost()
+        return self._now() < self.unavailable_until or self.is_unresponsive()
 
-    def is_lost(self):
+    def is_unresponsive(self):
         """Tell whether the endpoint doesn't answer at all.
 
         Silence alone doesn't tell: a single answer that got lost keeps a
@@ -73,10 +73,13 @@
         now = self._now()
         if self.health.is_absent(now):
             return True
-        return self._is_silent() and not self.health.is_usable(now)
+        return self._is_timed_out() and not self.health.is_usable(now)
 
-    def _is_silent(self):
-        return bool(self.open) and self._now() - self._quiet_since > SILENT_MS
+    def _is_timed_out(self):
+        return (
+            bool(self.open)
+            and self._now() - self._last_response_at > RESPONSE_TIMEOUT_MS
+        )
 
     def begin_prompt(self, urgency, cost_ms):
         """Note a prompt that is sent now; return it for its end."""
@@ -88,12 +91,12 @@
         """Note that a prompt was answered or given up."""
         self.jobs.remove(job)
         if was_read:
-            self.last_end = self._now()
+            self.last_prefill_end = self._now()
 
     def own_work(self):
         """Return this gateway's unfinished work."""
         return peer_messages.Work(
-            tuple(self.jobs), self.streams, self.last_end
+            tuple(self.jobs), self.streams, self.last_prefill_end
         )
 
 
@@ -104,18 +107,18 @@
         """Use what the beliefs say."""
         self._fleet_view = fleet_view
         self._now = now
-        self._state_by_life = {}
-        self._read = []
+        self._state_by_incarnation = {}
+        self._prefills = []
         self._changes = cache_view.UnsentChanges()
         self.scales = prefill_scale.PrefillScales()
         self.cache_holders = cache_holders.CacheHolders(now)
 
     def state(self, endpoint):
         """Return the state of this life of an endpoint."""
-        state = self._state_by_life.get(endpoint.incarnation_key)
+        state = self._state_by_incarnation.get(endpoint.incarnation_key)
         if state is None:
-            state = State(endpoint, self._now)
-            self._state_by_life[endpoint.incarnation_key] = state
+            state = EndpointState(endpoint, self._now)
+            self._state_by_incarnation[endpoint.incarnation_key] = state
         if state.endpoint.stage != endpoint.stage:
             # What it refused in its stage before says nothing any more.
             state.health = endpoint_health.Health()
@@ -146,7 +149,7 @@
             and not known.draining
         )
 
-    def learn_read(self, endpoint_id, parts):
+    def apply_peer_prefill(self, endpoint_id, parts):
         """Note prompts that another gateway had read."""
         endpoint = self._fleet_view.endpoint_by_id.get(endpoint_id)
         if endpoint is not None:
@@ -154,7 +157,7 @@
             self._changes.record_shared(parts)
             self.cache_holders.record_peer(endpoint_id, parts)
 
-    def learn_kept(self, state, parts):
+    def apply_cached_parts(self, state, parts):
         """Note parts that an engine says it keeps."""
         for part in parts:
             state.cache.put(part.id, part.tokens)
@@ -168,17 +171,17 @@
         for part_id in dropped:
             change = cache_view.Change(state.endpoint.id, part_id, 0)
             self._changes.take(state.cache, change)
-        self.learn_kept(state, parts)
+        self.apply_cached_parts(state, parts)
         return len(dropped)
 
-    def follow_cache(self, state, parts):
+    def apply_cache_changes(self, state, parts):
         """Note changes that an engine tells of its cache, oldest first."""
         tokens_by_part_id = {part.id: part.tokens for part in parts}
         for part_id, tokens in tokens_by_part_id.items():
             change = cache_view.Change(state.endpoint.id, part_id, tokens)
             self._changes.take(state.cache, change)
 
-    def learn_changed(self, rows):
+    def apply_peer_cache_changes(self, rows):
         """Note changes of caches that another gateway follows.
 
         :raises TypeError, ValueError, OverflowError: it is no such message.
@@ -188,25 +191,25 @@
             if state is not None:
                 state.cache.put(str(part_id), max(0, int(tokens)))
 
-    def drain_changed(self):
+    def drain_cache_changes(self):
         """Return the changes of caches that others weren't told yet."""
         return self._changes.drain()
 
-    def note_read(self, state, prompt):
+    def record_prefill(self, state, prompt):
         """Note a prompt that was read for this gateway, to tell others."""
         parts = [(part.id, part.tokens) for part in prompt.parts]
         state.cache.use(parts, self._capacity(state.endpoint))
         # The last part belongs to this request alone.
         shared = parts[:-1]
         self._changes.record_shared(shared)
-        self._read.append((state.endpoint.id, shared))
+        self._prefills.append((state.endpoint.id, shared))
         self.cache_holders.record(state.endpoint.id, shared)
 
-    def note_fetched(self, state, prompt):
+    def record_fetch(self, state, prompt):
         """Note that an engine fetched the memory of a prompt and keeps it."""
         parts = [(part.id, part.tokens) for part in prompt.parts]
         state.cache.use(parts, self._capacity(state.endpoint))
-        self._read.append((state.endpoint.id, parts[:-1]))
+        self._prefills.append((state.endpoint.id, parts[:-1]))
 
     def _capacity(self, endpoint):
         configuration = self._fleet_view.configuration
@@ -217,31 +220,31 @@
             return 0
         return service.engine.kv_tokens
 
-    def away_by_endpoint(self):
+    def unavailable_ms_by_endpoint_id(self):
         """Return for how long engines that change their stage are away."""
         now = self._now()
         return {
-            state.endpoint.id: state.away_until - now
-            for state in self._state_by_life.values()
-            if state.away_until > now
+            state.endpoint.id: state.unavailable_until - now
+            for state in self._state_by_incarnation.values()
+            if state.unavailable_until > now
         }
 
-    def learn_away(self, endpoint_id, ms):
+    def apply_unavailability(self, endpoint_id, ms):
         """Note that an engine changes its stage."""
         endpoint = self._fleet_view.endpoint_by_id.get(endpoint_id)
         if endpoint is not None:
-            self.state(endpoint).away_until = self._now() + ms
+            self.state(endpoint).unavailable_until = self._now() + ms
 
-    def drain_read(self):
+    def drain_prefills(self):
         """Return what was read since the last time."""
-        read = self._read
-        self._read = []
+        read = self._prefills
+        self._prefills = []
         return read
 
-    def work_by_endpoint(self):
+    def work_by_endpoint_id(self):
         """Return this gateway's unfinished work at each engine."""
         work = {}
-        for state in self._state_by_life.values():
+        for state in self._state_by_incarnation.values():
             own = state.own_work()
             if own.streams or own.jobs:
                 work[state.endpoint.id] = own
@@ -253,13 +256,13 @@
             endpoint.incarnation_key
             for endpoint in self._fleet_view.endpoint_by_id.values()
         }
-        for life, state in list(self._state_by_life.items()):
-            if life in current:
+        for incarnation, state in list(self._state_by_incarnation.items()):
+            if incarnation in current:
                 state.pool.prune()
                 continue
             state.pool.close()
             if not state.open:
-                del self._state_by_life[life]
+                del self._state_by_incarnation[incarnation]
                 _log.info("endpoint forgotten", endpoint=state.endpoint.id)
 
 
--- a/clementinewall/gateway/fleet_view.py
+++ b/clementinewall/gateway/fleet_view.py
@@ -29,18 +29,18 @@
         self._now = now
         self.configuration = None
         self.endpoint_by_id = {}
-        self.fleet_known = False
+        self.is_fleet_known = False
         self._configuration_offset = -1
         self._offset_by_id = {}
         self._lapse_end_by_id = {}
         self._grace_until = None
         # Others that started lately may hold such a record for the newest.
-        self._kept_out = set()
+        self._rejected_ids = set()
 
     @property
     def is_ready(self):
         """Tell whether requests can be served by what is known."""
-        return self.configuration is not None and self.fleet_known
+        return self.configuration is not None and self.is_fleet_known
 
     def apply_configuration(self, record):
         """Take in a record of the operators' topic; return if it is new."""
@@ -87,7 +87,7 @@
             return True
         self._offset_by_id[record.key] = record.offset
         if record.value is None:
-            self._removed(record.key, record.offset)
+            self._remove(record.key, record.offset)
             return True
         try:
             found = records.endpoint(record.key, record.value)
@@ -108,14 +108,14 @@
                 endpoint=record.key,
                 offset=record.offset,
             )
-            self._kept_out.add(record.key)
+            self._rejected_ids.add(record.key)
             return True
-        is_news = (
+        is_update = (
             known != found
             or lapsed is not None
-            or record.key in self._kept_out
+            or record.key in self._rejected_ids
         )
-        self._kept_out.discard(record.key)
+        self._rejected_ids.discard(record.key)
         self.endpoint_by_id[record.key] = found
         if known != found:
             _log.info(
@@ -127,7 +127,7 @@
                 born=found.incarnation,
                 offset=record.offset,
             )
-        return is_news
+        return is_update
 
     def apply_fleet_snapshot(self, batch):
         """Take in the newest record of each endpoint.
@@ -140,10 +140,10 @@
             self.apply_endpoint(record)
         for name in list(self.endpoint_by_id):
             if name not in listed:
-                self._removed(name, batch.end)
-        self.fleet_known = True
+                self._remove(name, batch.end)
+        self.is_fleet_known = True
 
-    def _removed(self, name, offset):
+    def _remove(self, name, offset):
         if name not in self.endpoint_by_id:
             return
         now = self._now()
--- a/clementinewall/gateway/peer_messages.py
+++ b/clementinewall/gateway/peer_messages.py
@@ -27,20 +27,20 @@
 
     jobs: tuple[prefill_queue.Job, ...]
     streams: int
-    last_end: float
+    last_prefill_end: float
 
 
-class Sign(typing.NamedTuple):
+class Heartbeat(typing.NamedTuple):
     """That a gateway lived at ``heard_at``, and how callers reach it."""
 
     ip: str
     callers: str
     data_centre: str
     ready: bool
-    heard_at: clock.Millis
+    received_at: clock.Millis
 
 
-class State(typing.NamedTuple):
+class GatewayState(typing.NamedTuple):
     """A gateway's sign of life, with its work and the engines it changes.
 
     ``away_by_endpoint`` tells for how many ms engines that change their
@@ -48,9 +48,9 @@
     how engines read.
     """
 
-    sign: Sign
-    work_by_endpoint: dict[str, Work]
-    away_by_endpoint: dict[str, float]
+    sign: Heartbeat
+    work_by_endpoint_id: dict[str, Work]
+    unavailable_ms_by_endpoint_id: dict[str, float]
     estimate_by_service: dict[str, prefill_scale.Estimate] = {}
 
 
@@ -79,43 +79,43 @@
     return json.loads(data)
 
 
-def sign(value, now):
+def encode_heartbeat(value, now):
     """Return a sign of life as plain data."""
-    return [*value[:4], now - value.heard_at]
+    return [*value[:4], now - value.received_at]
 
 
-def state(value, now):
+def encode_state(value, now):
     """Return a gateway's state as plain data."""
     return {
         "scales": {
             name: [round(number, 2) for number in estimate]
             for name, estimate in value.estimate_by_service.items()
         },
-        "sign": sign(value.sign, now),
-        "away": value.away_by_endpoint,
+        "sign": encode_heartbeat(value.sign, now),
+        "away": value.unavailable_ms_by_endpoint_id,
         "work": {
             name: [
                 work.streams,
-                now - work.last_end,
+                now - work.last_prefill_end,
                 [
                     [job.urgency, round(job.cost_ms), now - job.sent_at]
                     for job in work.jobs
                 ],
             ]
-            for name, work in value.work_by_endpoint.items()
+            for name, work in value.work_by_endpoint_id.items()
         },
     }
 
 
-def decode_sign(row, now):
+def decode_heartbeat(row, now):
     """Return the sign of life in a message.
 
     :raises TypeError, ValueError: it is none.
     """
     ip, callers, data_centre, ready, age = row
-    heard_at = now - max(0, age)
-    return Sign(
-        str(ip), str(callers), str(data_centre), ready is True, heard_at
+    received_at = now - max(0, age)
+    return Heartbeat(
+        str(ip), str(callers), str(data_centre), ready is True, received_at
     )
 
 
@@ -136,8 +136,8 @@
         for name, (streams, end_age, jobs) in data["work"].items()
     }
     away = {str(name): ms + 0 for name, ms in data["away"].items()}
-    return State(
-        decode_sign(data["sign"], now),
+    return GatewayState(
+        decode_heartbeat(data["sign"], now),
         work,
         away,
         _estimates(data.get("scales")),
--- a/clementinewall/gateway/peer_table.py
+++ b/clementinewall/gateway/peer_table.py
@@ -13,10 +13,10 @@
 # Gateways of a cell send every 300 ms, or oftener; of those outside somebody
 # tells about four times a second, each time as of 300 ms ago at most.
 # Callers that ask aren't sent to a gateway that died longer ago than this.
-SILENT_MS = 1_600
+HEARTBEAT_TIMEOUT_MS = 1_600
 # Cells are dealt anew only when a gateway is gone for longer than a restart
 # takes, since each time the work of several cells is scattered.
-MEMBER_SILENT_MS = 5_000
+MEMBER_TIMEOUT_MS = 5_000
 
 
 class PeerTable:
@@ -26,11 +26,11 @@
         """Know nobody."""
         self._own_ip = own_ip
         self._now = now
-        self._sign_by_ip = {}
+        self._heartbeat_by_ip = {}
         self._state_by_ip = {}
         self._member_until_by_ip = {}
         # Whether all gateways are known that the store names.
-        self.is_whole = False
+        self.is_complete = False
 
     @property
     def ips(self):
@@ -40,30 +40,30 @@
     def register(self, ip):
         """Note a gateway of the store's topic; it may have died long ago."""
         if ip != self._own_ip and ip not in self._member_until_by_ip:
-            self._member_until_by_ip[ip] = self._now() + MEMBER_SILENT_MS
+            self._member_until_by_ip[ip] = self._now() + MEMBER_TIMEOUT_MS
 
     def remove(self, ip):
         """Forget a gateway whose record was removed."""
         self._member_until_by_ip.pop(ip, None)
-        self._sign_by_ip.pop(ip, None)
+        self._heartbeat_by_ip.pop(ip, None)
         self._state_by_ip.pop(ip, None)
 
-    def take_state(self, ip, state):
+    def record_state(self, ip, state):
         """Note what a gateway sent itself, from ``ip``."""
         self._state_by_ip[ip] = state
-        self.take_sign(state.sign._replace(ip=ip))
+        self.record_heartbeat(state.sign._replace(ip=ip))
 
-    def take_sign(self, sign):
+    def record_heartbeat(self, sign):
         """Note a sign of life, if it is the latest."""
         if sign.ip == self._own_ip:
             return
-        known = self._sign_by_ip.get(sign.ip)
-        if known is not None and known.heard_at >= sign.heard_at:
+        known = self._heartbeat_by_ip.get(sign.ip)
+        if known is not None and known.received_at >= sign.received_at:
             return
         if known is None:
             _log.info("peer heard", ip=sign.ip, ready=sign.ready)
-        self._sign_by_ip[sign.ip] = sign
-        until = sign.heard_at + MEMBER_SILENT_MS
+        self._heartbeat_by_ip[sign.ip] = sign
+        until = sign.received_at + MEMBER_TIMEOUT_MS
         known_until = self._member_until_by_ip.get(sign.ip, until)
         self._member_until_by_ip[sign.ip] = max(known_until, until)
 
@@ -73,14 +73,18 @@
 
     def live(self):
         """Return the signs of the gateways heard of lately."""
-        limit = self._now() - SILENT_MS
-        return [s for s in self._sign_by_ip.values() if s.heard_at >= limit]
+        limit = self._now() - HEARTBEAT_TIMEOUT_MS
+        return [
+            s for s in self._heartbeat_by_ip.values() if s.received_at >= limit
+        ]
 
     def states(self):
         """Return the states of those heard directly lately."""
-        limit = self._now() - SILENT_MS
+        limit = self._now() - HEARTBEAT_TIMEOUT_MS
         return [
-            s for s in self._state_by_ip.values() if s.sign.heard_at >= limit
+            s
+            for s in self._state_by_ip.values()
+            if s.sign.received_at >= limit
         ]
 
     def members(self):
--- a/clementinewall/gateway/peers.py
+++ b/clementinewall/gateway/peers.py
@@ -26,25 +26,25 @@
 # New prompts are told at once; otherwise all that are placed meanwhile go to
 # the engine that then seems the least loaded.  The gap between two sends
 # grows with the number of peers, which bounds the datagrams a second.
-GAP_MS_A_PEER = 2
+SEND_GAP_MS_PER_PEER = 2
 # Ends of work, and new streams, are told at the latest after this time.  The
 # others work out for themselves when a prompt has been read.
-CHANGED_MS = 200
+MAX_CHANGE_DELAY_MS = 200
 # The body of a prompt that takes so long to read fills a thin link, and
 # datagrams that meet a full link are lost.  Such a prompt is told again.
-LONG_MS = 40
-AGAIN_MS = 60
+LONG_PREFILL_MS = 40
+REPEAT_DELAY_MS = 60
 # Without a change a state is sent this seldom, as a sign of life.
-UNCHANGED_MS = 300
+HEARTBEAT_INTERVAL_MS = 300
 # A gateway outside the cell hears from this one once in so many rounds, and
 # in each of them from others of this cell, who tell the same.
-FAR_MS = 500
-FAR_ROUNDS = 4
+REMOTE_INTERVAL_MS = 500
+REMOTE_ROUNDS = 4
 REGISTER_RETRY_MS = 1_000
 MAX_BYTES = 60_000
 # Datagrams get lost.  News with a change is sent so many times at once; the
 # next news, half a second later or more, repeats it as well.
-CHANGE_COPIES = 2
+UPDATE_COPIES = 2
 
 
 class Peers:
@@ -68,35 +68,35 @@
         # Whether the store names no earlier process of this instance.
         self.is_first_process = False
         self._last_work = {}
-        self._last_at = -UNCHANGED_MS
-        self._again_at = None
+        self._last_at = -HEARTBEAT_INTERVAL_MS
+        self._repeat_at = None
         self._datagrams = None
-        self._last_far_at = -FAR_MS
+        self._last_remote_at = -REMOTE_INTERVAL_MS
         self._rounds = itertools.count()
         self._wake = anyio.Event()
         self._outbox = collections.deque()
         self._apply_update_by_topic = {}
 
-    def tell(self):
+    def notify(self):
         """Let the others know soon of what has changed."""
         self._wake.set()
 
-    def tell_prompt(self, job):
+    def announce_prompt(self, job):
         """Let the others know of a new prompt, before its body is sent.
 
         Sent right after it, the datagram may be lost behind the body on a
         thin link, and others take the engine for idle until the next one.
         """
         now = self._now()
-        if job.cost_ms >= LONG_MS:
-            self._again_at = now + AGAIN_MS
+        if job.cost_ms >= LONG_PREFILL_MS:
+            self._repeat_at = now + REPEAT_DELAY_MS
         gap_over = now - self._last_at >= self._gap_ms()
         if self._datagrams is None or not gap_over:
             self._wake.set()
             return
-        self._send_state(self._endpoints.work_by_endpoint(), now)
+        self._send_state(self._endpoints.work_by_endpoint_id(), now)
 
-    def place_in_line(self):
+    def group_rank(self):
         """Return this gateway's place among those that live and serve.
 
         By address, so that all that hear one another agree.
@@ -107,7 +107,7 @@
     def send_update(self, update):
         """Tell the others what was read of the store."""
         raw = peer_messages.dump({"news": topic_updates.encode(update)})
-        copies = CHANGE_COPIES if update.records or not update.whole else 1
+        copies = UPDATE_COPIES if update.records or not update.whole else 1
         self._outbox.extend([raw] * copies)
         self._wake.set()
 
@@ -157,23 +157,23 @@
             while True:
                 self._send()
                 await anyio.sleep(clock.seconds(self._gap_ms()))
-                with anyio.move_on_after(clock.seconds(self._rest_ms())):
+                with anyio.move_on_after(clock.seconds(self._idle_wait_ms())):
                     await self._wake.wait()
                 self._wake = anyio.Event()
         finally:
             self._datagrams.close()
             self._datagrams = None
 
-    def _rest_ms(self):
+    def _idle_wait_ms(self):
         """Return how long there is nothing to send unless work comes."""
-        if self._again_at is None:
-            return CHANGED_MS
-        return min(CHANGED_MS, max(0, self._again_at - self._now()))
+        if self._repeat_at is None:
+            return MAX_CHANGE_DELAY_MS
+        return min(MAX_CHANGE_DELAY_MS, max(0, self._repeat_at - self._now()))
 
     def _gap_ms(self):
-        return GAP_MS_A_PEER * max(1, len(self._close()))
+        return SEND_GAP_MS_PER_PEER * max(1, len(self._cell_peers()))
 
-    def _close(self):
+    def _cell_peers(self):
         return [
             ip
             for ip in self.table.ips
@@ -185,63 +185,67 @@
             raw = self._outbox.popleft()
             self._datagrams.send(raw, self._group())
         now = self._now()
-        work = self._endpoints.work_by_endpoint()
+        work = self._endpoints.work_by_endpoint_id()
         if self._is_due(work, now):
             self._send_state(work, now)
-        if now - self._last_far_at >= FAR_MS:
-            self._last_far_at = now
-            self._send_signs(now)
+        if now - self._last_remote_at >= REMOTE_INTERVAL_MS:
+            self._last_remote_at = now
+            self._send_heartbeats(now)
 
     def _is_due(self, work, now):
         """Tell whether the others should hear of the work now."""
-        if self._again_at is not None and now >= self._again_at:
-            self._again_at = None
+        if self._repeat_at is not None and now >= self._repeat_at:
+            self._repeat_at = None
             return True
-        is_old = now - self._last_at >= UNCHANGED_MS
+        is_old = now - self._last_at >= HEARTBEAT_INTERVAL_MS
         return is_old or work != self._last_work
 
     def _send_state(self, work, now):
         self._last_work = work
         self._last_at = now
-        state = peer_messages.State(
-            self._own_sign(now),
+        state = peer_messages.GatewayState(
+            self._own_heartbeat(now),
             work,
-            self._endpoints.away_by_endpoint(),
+            self._endpoints.unavailable_ms_by_endpoint_id(),
             self._endpoints.scales.estimate_by_service(),
         )
         message = {
-            "state": peer_messages.state(state, now),
-            "read": self._endpoints.drain_read(),
-            "changed": self._endpoints.drain_changed(),
+            "state": peer_messages.encode_state(state, now),
+            "read": self._endpoints.drain_prefills(),
+            "changed": self._endpoints.drain_cache_changes(),
             "marks": self._crash_guard.message(),
         }
         raw = peer_messages.dump(message)
         if len(raw) > MAX_BYTES:
             _log.warning("state too large to tell", size=len(raw))
             return
-        self._datagrams.send(raw, self._close())
+        self._datagrams.send(raw, self._cell_peers())
 
-    def _send_signs(self, now):
+    def _send_heartbeats(self, now):
         """Tell part of those outside the cell who lives in it."""
-        close = set(self._close())
-        far = sorted(ip for ip in self.table.ips if ip not in close)
-        turn = next(self._rounds) % FAR_ROUNDS
-        if not far[turn::FAR_ROUNDS]:
+        cell_peers = set(self._cell_peers())
+        remote = sorted(ip for ip in self.table.ips if ip not in cell_peers)
+        turn = next(self._rounds) % REMOTE_ROUNDS
+        if not remote[turn::REMOTE_ROUNDS]:
             return
-        own = [self._own_sign(now)]
+        own = [self._own_heartbeat(now)]
         heard = [state.sign for state in self.table.states()]
-        rows = [peer_messages.sign(sign, now) for sign in own + heard]
+        rows = [
+            peer_messages.encode_heartbeat(sign, now) for sign in own + heard
+        ]
         message = {
             "signs": rows,
             "marks": self._crash_guard.message(),
-            "kept": self._endpoints.cache_holders.message(FAR_MS * FAR_ROUNDS),
+            "kept": self._endpoints.cache_holders.message(
+                REMOTE_INTERVAL_MS * REMOTE_ROUNDS
+            ),
         }
         raw = peer_messages.dump(message)
-        self._datagrams.send(raw, far[turn::FAR_ROUNDS])
+        self._datagrams.send(raw, remote[turn::REMOTE_ROUNDS])
 
-    def _own_sign(self, now):
+    def _own_heartbeat(self, now):
         settings = self._settings
-        return peer_messages.Sign(
+        return peer_messages.Heartbeat(
             settings.ip,
             settings.callers,
             settings.data_centre,
@@ -275,7 +279,9 @@
         if "state" in message:
             self._take_state(message, ip, now)
         for row in message.get("signs", ()):
-            self.table.take_sign(peer_messages.decode_sign(row, now))
+            self.table.record_heartbeat(
+                peer_messages.decode_heartbeat(row, now)
+            )
         self._crash_guard.merge(message.get("marks", ()))
         self._endpoints.cache_holders.merge(message.get("kept", ()))
         # News decides which endpoints get work, so only gateways are
@@ -286,11 +292,11 @@
     def _take_state(self, message, ip, now):
         state = peer_messages.decode_state(message["state"], now)
         for endpoint_id, parts in message["read"]:
-            self._endpoints.learn_read(endpoint_id, parts)
-        self._endpoints.learn_changed(message.get("changed", ()))
-        for endpoint_id, ms in state.away_by_endpoint.items():
-            self._endpoints.learn_away(endpoint_id, ms)
-        self.table.take_state(ip, state)
+            self._endpoints.apply_peer_prefill(endpoint_id, parts)
+        self._endpoints.apply_peer_cache_changes(message.get("changed", ()))
+        for endpoint_id, ms in state.unavailable_ms_by_endpoint_id.items():
+            self._endpoints.apply_unavailability(endpoint_id, ms)
+        self.table.record_state(ip, state)
 
     def _apply_update(self, update):
         take = self._apply_update_by_topic.get(update.topic)
--- a/clementinewall/gateway/placing.py
+++ b/clementinewall/gateway/placing.py
@@ -33,11 +33,11 @@
     ``prefill_scale`` what the predicted reading was multiplied by.
     """
 
-    prefill_engine: endpoints_module.State | None
-    decode_engine: endpoints_module.State
+    prefill_engine: endpoints_module.EndpointState | None
+    decode_engine: endpoints_module.EndpointState
     option: placement.Option
     urgency: int
-    source: endpoints_module.State | None = None
+    source: endpoints_module.EndpointState | None = None
     run_urgency: int = placement.URGENCY_NORMAL
     prefill_scale: float = 1.0
 
@@ -207,14 +207,16 @@
         endpoint = state.endpoint
         jobs = list(state.jobs)
         streams = state.streams
-        last_end = state.last_end
+        last_prefill_end = state.last_prefill_end
         for peer in peers:
-            work = peer.work_by_endpoint.get(endpoint.id)
+            work = peer.work_by_endpoint_id.get(endpoint.id)
             if work is not None:
                 jobs.extend(work.jobs)
                 streams += work.streams
-                last_end = max(last_end, work.last_end)
-        waiting = prefill_queue.wait_ms(jobs, last_end, self._now(), urgency)
+                last_prefill_end = max(last_prefill_end, work.last_prefill_end)
+        waiting = prefill_queue.wait_ms(
+            jobs, last_prefill_end, self._now(), urgency
+        )
         return placement.Engine(
             id=endpoint.id,
             prefill=endpoint.stage == domain.PREFILL,
@@ -225,7 +227,7 @@
             slowness=state.health.slowness
             if state.is_usable()
             else UNUSABLE_SLOWNESS,
-            unreachable=state.is_gone(),
+            unreachable=state.is_unavailable(),
         )
 
     def _refuse(self, exchange, demand, refusal, last):
--- a/clementinewall/gateway/program.py
+++ b/clementinewall/gateway/program.py
@@ -83,7 +83,7 @@
                 self._cell_membership,
                 now,
             ),
-            self._peers.tell_prompt,
+            self._peers.announce_prompt,
             self._budgets,
             self._crash_guard,
             drain,
@@ -171,7 +171,7 @@
         ).run()
 
     def _met(self):
-        self._peers.table.is_whole = True
+        self._peers.table.is_complete = True
 
     def _known(self):
         return self._settings, self._now, self._fleet_view
--- a/clementinewall/gateway/sending.py
+++ b/clementinewall/gateway/sending.py
@@ -48,7 +48,7 @@
             raise self.failure(
                 f"silent for {silence_timeout_ms:.0f} ms"
             ) from exc
-        self.state.heard()
+        self.state.record_response()
         self.is_complete = part is None
         return part
 
@@ -87,7 +87,7 @@
                 f"silent for {silence_timeout_ms:.0f} ms",
                 state.endpoint.id,
             ) from exc
-        state.heard()
+        state.record_response()
         sent = SentRequest(state, link, head)
         _record_load(state, head, now())
         if calls.says_not_run(head):
--- a/clementinewall/gateway/stage_manager.py
+++ b/clementinewall/gateway/stage_manager.py
@@ -124,7 +124,7 @@
         Nobody else may claim sooner than the instance whose claim stands.
         """
         turn_ms = min(TURN_MS, TURN_LASTING * change.lasting_ms)
-        in_line = self._peers.place_in_line()
+        in_line = self._peers.group_rank()
         if self._lease.is_standing:
             in_line = 0
         return change.lasting_ms + in_line * turn_ms
@@ -141,7 +141,7 @@
         is_first = not self._look_at
         if now < self._look_at:
             return
-        if not is_first and self._peers.place_in_line() >= LOOKERS:
+        if not is_first and self._peers.group_rank() >= LOOKERS:
             return
         self._look_at = now + CLAIM_LOOK_MS
         try:
@@ -201,13 +201,13 @@
 
     def _engine(self, state):
         streams = state.streams + sum(
-            peer.work_by_endpoint[state.endpoint.id].streams
+            peer.work_by_endpoint_id[state.endpoint.id].streams
             for peer in self._peers.table.states()
-            if state.endpoint.id in peer.work_by_endpoint
+            if state.endpoint.id in peer.work_by_endpoint_id
         )
         rest = self._cooldowns.active(state.endpoint.id)
         stage = state.endpoint.stage
-        is_lost = state.is_lost()
+        is_lost = state.is_unresponsive()
         if rest is not None:
             # Its record shows the new stage only when the change is over.
             stage = rest.stage or stage
@@ -302,8 +302,10 @@
         rest_ms = SETTLE_MS
         if status == 202:
             rest_ms += service.engine.switch_ms
-            state.away_until = self._clock.now() + service.engine.switch_ms
-            self._peers.tell()
+            state.unavailable_until = (
+                self._clock.now() + service.engine.switch_ms
+            )
+            self._peers.notify()
         stage = _stage(change) if status in ACCEPTED else None
         self._cooldowns.start(
             state.endpoint.id, cooldowns.Cause.SETTLING, rest_ms, stage
--- a/clementinewall/gateway/stream_relay.py
+++ b/clementinewall/gateway/stream_relay.py
@@ -37,7 +37,7 @@
         self,
         endpoints,
         placer,
-        tell_prompt,
+        announce_prompt,
         budgets,
         crash_guard,
         drain,
@@ -52,7 +52,7 @@
         self._drain = drain
         self._endpoints = endpoints
         self._placer = placer
-        self._tell_prompt = tell_prompt
+        self._announce_prompt = announce_prompt
         self._budgets = budgets
         self._crash_guard = crash_guard
         self._group = group
@@ -130,7 +130,7 @@
         job = None
         if not prefilled:
             job = decoder.begin_prompt(plan.run_urgency, plan.option.prompt_ms)
-            self._tell_prompt(job)
+            self._announce_prompt(job)
         stream.begin(lambda: self._first(exchange, plan, job))
         taken = False
         silence_timeout_ms = self._silence_ms(exchange, plan)
@@ -191,9 +191,9 @@
         if job is not None:
             plan.decode_engine.end_prompt(job, True)
         if exchange.call.prompt:
-            note = self._endpoints.note_read
+            note = self._endpoints.record_prefill
             if job is None:
-                note = self._endpoints.note_fetched
+                note = self._endpoints.record_fetch
             note(plan.decode_engine, exchange.call.prompt)
         took = exchange.waited_ms
         if exchange.first_event_ms is None:
@@ -230,7 +230,7 @@
         started = self._now()
         job = reader.begin_prompt(plan.urgency, prompt_ms)
         was_read = False
-        self._tell_prompt(job)
+        self._announce_prompt(job)
         silence_timeout_ms = self._reading_silence_ms(exchange, plan)
         try:
             async with sending.send(
@@ -258,7 +258,7 @@
             ) from exc
         reader.health.record_success()
         took_ms = self._now() - started
-        self._endpoints.note_read(reader, exchange.call.prompt)
+        self._endpoints.record_prefill(reader, exchange.call.prompt)
         if plan.measures_prefill_speed:
             self._endpoints.scales.record(
                 exchange.service.name,
--- a/clementinewall/gateway/topic_followers.py
+++ b/clementinewall/gateway/topic_followers.py
@@ -93,7 +93,7 @@
                 await self._told.wait()
 
     def _place(self):
-        return self._peers.place_in_line() if self._peers else 0
+        return self._peers.group_rank() if self._peers else 0
 
     def _patience_ms(self):
         return store_polling.max_age_ms(self._pace, self._place())
--- a/clementinewall/lab/gateway.py
+++ b/clementinewall/lab/gateway.py
@@ -46,7 +46,7 @@
             loop.read,
         )
         self._last_work = {}
-        self._sent_at = -peers.UNCHANGED_MS
+        self._sent_at = -peers.HEARTBEAT_INTERVAL_MS
         self._is_planned = False
 
     def start(self, ips):
@@ -57,12 +57,12 @@
         for ip in ips:
             self.table.register(ip)
         self._cell_membership.update([ip for ip in ips if ip != self.ip])
-        self._plan(peers.CHANGED_MS)
+        self._plan(peers.MAX_CHANGE_DELAY_MS)
         self._tell_far(ips)
 
     def _tell_far(self, ips):
         """Tell those outside of the cell, all at once, what engines keep."""
-        period = peers.FAR_MS * peers.FAR_ROUNDS
+        period = peers.REMOTE_INTERVAL_MS * peers.REMOTE_ROUNDS
         rows = self.endpoints.cache_holders.message(period)
         for ip in ips:
             if ip != self.ip and not self._cell_membership.is_cell_gateway(ip):
@@ -80,7 +80,7 @@
     def tell(self):
         """Let the others know of a new prompt as soon as that is due."""
         if not self._is_planned:
-            gap = peers.GAP_MS_A_PEER * max(1, len(self.close_ips()))
+            gap = peers.SEND_GAP_MS_PER_PEER * max(1, len(self.close_ips()))
             self._is_planned = True
             self._loop.after(
                 self._sent_at + gap - self._loop.now, self._send_new
@@ -91,34 +91,34 @@
 
     def _send_new(self):
         self._is_planned = False
-        self._send(self.endpoints.work_by_endpoint())
+        self._send(self.endpoints.work_by_endpoint_id())
 
     def _send_changes(self):
-        work = self.endpoints.work_by_endpoint()
-        old = self._loop.now - self._sent_at >= peers.UNCHANGED_MS
+        work = self.endpoints.work_by_endpoint_id()
+        old = self._loop.now - self._sent_at >= peers.HEARTBEAT_INTERVAL_MS
         if work != self._last_work or old:
             self._send(work)
-        self._plan(peers.CHANGED_MS)
+        self._plan(peers.MAX_CHANGE_DELAY_MS)
 
     def _send(self, work):
         self._last_work = work
         self._sent_at = self._loop.now
-        sign = peer_messages.Sign(self.ip, "", "", True, self._loop.now)
-        state = peer_messages.State(
+        sign = peer_messages.Heartbeat(self.ip, "", "", True, self._loop.now)
+        state = peer_messages.GatewayState(
             sign,
             work,
             {},
             estimate_by_service=self.endpoints.scales.estimate_by_service(),
         )
-        read = self.endpoints.drain_read()
+        read = self.endpoints.drain_prefills()
         for ip in self.close_ips():
             self._network(ip, lambda peer: peer.hear(self.ip, state, read))
 
     def hear(self, ip, state, read):
         """Take in what a peer of the cell told."""
         for endpoint_id, parts in read:
-            self.endpoints.learn_read(endpoint_id, parts)
-        self.table.take_state(ip, state)
+            self.endpoints.apply_peer_prefill(endpoint_id, parts)
+        self.table.record_state(ip, state)
 
     def hear_far(self, rows):
         """Take in which engines keep what, from a gateway of another cell."""
--- a/clementinewall/lab/simulation.py
+++ b/clementinewall/lab/simulation.py
@@ -156,7 +156,7 @@
         service = self._configuration.service_by_name[SERVICE]
         return exchanges.Exchange(None, call, route, service, self._loop.read)
 
-    def note_read(self, engine, prompt):
+    def record_prefill(self, engine, prompt):
         """Count the shared tokens that another engine keeps."""
         total = 0
         for part in prompt.parts[:-1]:
@@ -261,7 +261,7 @@
     def _read_rest(self, reader, source=None):
         if source is not None:
             reader.keep_as(source, self._prompt)
-        self._sim.note_read(reader, self._prompt)
+        self._sim.record_prefill(reader, self._prompt)
         after = (
             self._run
             if self._plan.prefill_engine is None
@@ -287,7 +287,7 @@
 
     def _end_reading(self, state):
         state.end_prompt(self._job, True)
-        self._gateway.endpoints.note_read(state, self._prompt)
+        self._gateway.endpoints.record_prefill(state, self._prompt)
 
     def _run_fetched(self):
         self._decoder.keep(self._prompt)
--- a/tests/gateway/test_endpoints.py
+++ b/tests/gateway/test_endpoints.py
@@ -37,9 +37,9 @@
         """Have the engine read one prompt for the first gateway."""
         self.first = gateway_view()
         self.second = gateway_view()
-        self.first.note_read(self.first.state(ENGINE), PROMPT)
-        for name, parts in self.first.drain_read():
-            self.second.learn_read(name, parts)
+        self.first.record_prefill(self.first.state(ENGINE), PROMPT)
+        for name, parts in self.first.drain_prefills():
+            self.second.apply_peer_prefill(name, parts)
 
     def cached(self, view):
         """Return how much of the prompt a gateway believes to be kept."""
@@ -47,8 +47,8 @@
 
     def tell(self, *parts):
         """Let the first gateway hear of changes, and tell the second one."""
-        self.first.follow_cache(self.first.state(ENGINE), parts)
-        self.second.learn_changed(self.first.drain_changed())
+        self.first.apply_cache_changes(self.first.state(ENGINE), parts)
+        self.second.apply_peer_cache_changes(self.first.drain_cache_changes())
 
     def test_a_part_that_was_dropped_is_known_to_be_gone_at_all(self):
         self.assertEqual(self.cached(self.second), 8_000)
@@ -62,22 +62,22 @@
         self.assertEqual(self.cached(self.second), 8_000)
 
     def test_parts_of_single_requests_are_not_told(self):
-        self.first.follow_cache(
+        self.first.apply_cache_changes(
             self.first.state(ENGINE), [OWN, OWN._replace(id="other")]
         )
-        self.assertEqual(self.first.drain_changed(), [])
+        self.assertEqual(self.first.drain_cache_changes(), [])
 
     def test_a_listed_part_that_nobody_asked_for_is_known_to_be_gone(self):
         listed = domain.PromptPart("p", 40_000)
         for view in (self.first, self.second):
-            view.learn_kept(view.state(ENGINE), [SHARED, listed])
+            view.apply_cached_parts(view.state(ENGINE), [SHARED, listed])
         self.tell(listed._replace(tokens=0))
         state = self.second.state(ENGINE)
         self.assertEqual(state.cache.cached_prefix_tokens((listed,)), 0)
 
     def test_what_a_list_after_a_gap_lacks_is_told_too(self):
         self.first.replace_cache(self.first.state(ENGINE), [])
-        self.second.learn_changed(self.first.drain_changed())
+        self.second.apply_peer_cache_changes(self.first.drain_cache_changes())
         self.assertEqual(self.cached(self.second), 0)
 
     def test_a_part_that_is_kept_in_part_ends_the_beginning(self):
@@ -90,12 +90,12 @@
         )
 
     def test_changes_of_an_engine_that_has_left_are_passed_over(self):
-        self.second.learn_changed([["gone", "s", 0]])
+        self.second.apply_peer_cache_changes([["gone", "s", 0]])
         self.assertEqual(self.cached(self.second), 8_000)
 
     def test_the_list_at_a_start_takes_nothing_back(self):
         other = domain.PromptPart("p", 300)
-        self.second.learn_kept(self.second.state(ENGINE), [other])
+        self.second.apply_cached_parts(self.second.state(ENGINE), [other])
         self.assertEqual(self.cached(self.second), 8_000)
 
     def test_a_whole_list_replaces_what_was_believed(self):
@@ -113,14 +113,14 @@
         first = gateway_view()
         for _ in range(30):
             first.scales.record("model", 150.0, 100.0)
-        sign = peer_messages.Sign("10.0.0.9", "", "a", True, 0)
-        told = peer_messages.State(
+        sign = peer_messages.Heartbeat("10.0.0.9", "", "a", True, 0)
+        told = peer_messages.GatewayState(
             sign,
             {},
             {},
             estimate_by_service=first.scales.estimate_by_service(),
         )
-        data = json.loads(json.dumps(peer_messages.state(told, 0)))
+        data = json.loads(json.dumps(peer_messages.encode_state(told, 0)))
         peers = [peer_messages.decode_state(data, 0)]
         started = gateway_view().scales
         self.assertEqual(started.scale("model", []), 1.0)
@@ -146,23 +146,23 @@
     def setUp(self):
         """Begin with an engine that has answered nothing for a while."""
         self.ticker = clock.ManualClock(100_000)
-        self.state = endpoints.State(ENGINE, self.ticker.now)
+        self.state = endpoints.EndpointState(ENGINE, self.ticker.now)
         self.state.begin()
-        self.ticker.advance(endpoints.SILENT_MS + 1)
+        self.ticker.advance(endpoints.RESPONSE_TIMEOUT_MS + 1)
 
     def test_an_answer_that_got_lost_does_not_make_its_engine_gone(self):
         self.assertFalse(self.state.is_usable())
-        self.assertFalse(self.state.is_gone())
+        self.assertFalse(self.state.is_unavailable())
 
     def test_an_engine_that_is_silent_and_fails_is_gone(self):
         for _ in range(2):
             self.state.health.record_failure(self.ticker.now())
-        self.assertTrue(self.state.is_gone())
+        self.assertTrue(self.state.is_unavailable())
 
     def test_an_engine_that_nothing_listens_for_is_gone(self):
         self.state.health.record_failure(self.ticker.now(), absent=True)
-        self.assertTrue(self.state.is_gone())
+        self.assertTrue(self.state.is_unavailable())
 
     def test_an_engine_that_changes_its_stage_is_gone(self):
-        self.state.away_until = self.ticker.now() + 1
-        self.assertTrue(self.state.is_gone())
+        self.state.unavailable_until = self.ticker.now() + 1
+        self.assertTrue(self.state.is_unavailable())
--- a/tests/gateway/test_peer_table.py
+++ b/tests/gateway/test_peer_table.py
@@ -14,9 +14,9 @@
 OWN = "10.0.0.1"
 
 
-def sign(ip, heard_at, ready=True):
+def sign(ip, received_at, ready=True):
     """Return a sign of life."""
-    return peer_messages.Sign(ip, f"{ip}:80", "a", ready, heard_at)
+    return peer_messages.Heartbeat(ip, f"{ip}:80", "a", ready, received_at)
 
 
 class Table(unittest.TestCase):
@@ -38,8 +38,8 @@
         # that comes late must not bring a dead gateway back to life.
         self.setUp()
         for moment in moments:
-            self.table.take_sign(sign("10.0.0.2", moment))
-        self.clock.advance(max(moments) + peer_table.SILENT_MS)
+            self.table.record_heartbeat(sign("10.0.0.2", moment))
+        self.clock.advance(max(moments) + peer_table.HEARTBEAT_TIMEOUT_MS)
         self.assertEqual(self.live(), ["10.0.0.2"])
         self.clock.advance(1)
         self.assertEqual(self.live(), [])
@@ -48,21 +48,21 @@
         # Gateways tell each other what they were told.  Only the age of the
         # first hearing counts, or the dead would live as long as anybody
         # talks of them.
-        self.table.take_sign(sign("10.0.0.2", 0))
+        self.table.record_heartbeat(sign("10.0.0.2", 0))
         for _ in range(20):
             self.clock.advance(200)
             for known in self.table.live():
-                self.table.take_sign(known)
+                self.table.record_heartbeat(known)
         self.assertEqual(self.live(), [])
 
     def test_a_process_that_comes_back_stays_a_member(self):
         # A gateway is killed and is back after three seconds.  Callers must
         # not be sent there meanwhile, but the cells stay as they are.
-        self.table.take_sign(sign("10.0.0.2", 0))
+        self.table.record_heartbeat(sign("10.0.0.2", 0))
         self.clock.advance(3_000)
         self.assertEqual(self.live(), [])
         self.assertEqual(self.table.members(), ["10.0.0.2"])
-        self.clock.advance(peer_table.MEMBER_SILENT_MS)
+        self.clock.advance(peer_table.MEMBER_TIMEOUT_MS)
         self.assertEqual(self.table.members(), [])
 
     def test_registered_gateways_are_members_before_they_are_heard(self):
@@ -72,7 +72,7 @@
         self.assertEqual(self.live(), [])
 
     def test_own_sign_from_others_is_no_peer(self):
-        self.table.take_sign(sign(OWN, 0))
+        self.table.record_heartbeat(sign(OWN, 0))
         self.assertEqual(self.live(), [])
 
 
@@ -95,13 +95,15 @@
             prefill_queue.Job(urgency, 30, here - age) for urgency, age in jobs
         )
         work = {"e1": peer_messages.Work(rows, 3, here - 7)}
-        sent = peer_messages.State(sign("10.0.0.2", here), work, {"e2": 40})
-        raw = json.dumps(peer_messages.state(sent, here))
+        sent = peer_messages.GatewayState(
+            sign("10.0.0.2", here), work, {"e2": 40}
+        )
+        raw = json.dumps(peer_messages.encode_state(sent, here))
         got = peer_messages.decode_state(json.loads(raw), there)
         self.assertEqual(got.sign, sign("10.0.0.2", there))
-        self.assertEqual(got.away_by_endpoint, {"e2": 40})
+        self.assertEqual(got.unavailable_ms_by_endpoint_id, {"e2": 40})
         for old, new in zip(
-            rows, got.work_by_endpoint["e1"].jobs, strict=True
+            rows, got.work_by_endpoint_id["e1"].jobs, strict=True
         ):
             self.assertEqual(here - old.sent_at, there - new.sent_at)
             self.assertEqual(old[:2], new[:2])
--- a/tests/gateway/test_peers.py
+++ b/tests/gateway/test_peers.py
@@ -61,14 +61,14 @@
         )
         self.wire = _Wire()
         self.peers._datagrams = self.wire
-        sign = peer_messages.Sign(OTHER, f"{OTHER}:1", "a", True, now())
-        self.peers.table.take_sign(sign)
+        sign = peer_messages.Heartbeat(OTHER, f"{OTHER}:1", "a", True, now())
+        self.peers.table.record_heartbeat(sign)
         self.peers._cell_membership.update([OTHER])
 
     def begin(self, cost_ms):
         """Begin a prompt and tell it."""
         job = self.endpoints.state(ENGINE).begin_prompt(1, cost_ms)
-        self.peers.tell_prompt(job)
+        self.peers.announce_prompt(job)
 
     def jobs_told(self):
         """Return how many prompts each message names."""
@@ -87,7 +87,7 @@
         self.begin(300.0)
         self.peers._send()
         self.assertEqual(self.jobs_told(), [1])
-        self.ticker.advance(peers.AGAIN_MS)
+        self.ticker.advance(peers.REPEAT_DELAY_MS)
         self.peers._send()
         self.assertEqual(self.jobs_told(), [1, 1])
         self.peers._send()
--- a/tests/gateway/test_stage_manager.py
+++ b/tests/gateway/test_stage_manager.py
@@ -58,8 +58,8 @@
             endpoint_by_id={},
         )
         peers = types.SimpleNamespace(
-            place_in_line=lambda: 0,
-            tell=lambda: None,
+            group_rank=lambda: 0,
+            notify=lambda: None,
             table=types.SimpleNamespace(states=list),
         )
         self.keeper = stage_manager.StageManager(
--- a/tests/gateway/test_topic_followers.py
+++ b/tests/gateway/test_topic_followers.py
@@ -81,7 +81,7 @@
         raw = json.dumps(topic_updates.encode(update))
         self.told.append(topic_updates.decode(json.loads(raw)))
 
-    def place_in_line(self):
+    def group_rank(self):
         """Return the first place."""
         return 0
 
