--- a/clementinewall/gateway/stream_relay.py
+++ b/clementinewall/gateway/stream_relay.py
@@ -203,9 +203,9 @@
         if job is not None:
             plan.decode_engine.end_prompt(job, True)
         if exchange.call.prompt:
-            note = self._endpoints.note_read
+            note = self._endpoints.record_prefill
             if job is None:
-                note = self._endpoints.note_fetched
+                note = self._endpoints.record_fetch
             note(plan.decode_engine, exchange.call.prompt)
         took = exchange.waited_ms
         if exchange.first_event_ms is None:
@@ -276,7 +276,7 @@
             ) from exc
         prefill_engine.health.record_success()
         took_ms = self._now() - started
-        self._endpoints.note_read(prefill_engine, exchange.call.prompt)
+        self._endpoints.record_prefill(prefill_engine, exchange.call.prompt)
         if plan.measures_prefill_speed:
             self._endpoints.scales.record(
                 exchange.service.name,
