--- a/clementinewall/membership/members.py
+++ b/clementinewall/membership/members.py
@@ -163,7 +163,11 @@
         return (*local, *remote, *others.values())
 
     def representatives(self, program=None):
-        """Return the live rows that every node of the system knows."""
+        """Return the live rows that every node of the system has.
+
+        These are up to ``digest_size`` of each program and data centre, the
+        same ones for every node.
+        """
         by_group = {}
         for row in self.live(program):
             if row.state == "live":
--- a/clementinewall/records/control.py
+++ b/clementinewall/records/control.py
@@ -40,8 +40,8 @@
 
     ``after`` is the last renewal of that claim that the claimant has read.
     A renewal that reaches the log after it makes the new claim void, so a
-    holder that reads back its own renewal knows that no claim made before
-    the renewal was read can still succeed.
+    holder that reads back its own renewal knows that no claim based on an
+    earlier renewal can still succeed.
     """
 
     id: str
--- a/clementinewall/steward/fleet.py
+++ b/clementinewall/steward/fleet.py
@@ -33,7 +33,7 @@
         self.report_by_id = {}
 
     async def run(self):
-        """Reconcile for ever."""
+        """Reconcile at a fixed interval until cancelled."""
         while True:
             async with anyio.create_task_group() as group:
                 for name, endpoint in self._held_endpoints():
