--- a/clementinewall/gateway/budgets.py
+++ b/clementinewall/gateway/budgets.py
@@ -65,7 +65,7 @@
         cut off from the peers and still send to endpoints.
         """
         table = self._peers.table
-        if not table.is_whole:
+        if not table.is_complete:
             return None
         self._max_gateways = max(self._max_gateways, 1 + len(table.ips))
         return self._max_gateways
