--- a/clementinewall/clock.py
+++ b/clementinewall/clock.py
@@ -1,8 +1,8 @@
 """Time in whole milliseconds, from one monotonic clock per process.
 
-Durations and instants are plain ``int`` milliseconds.  An instant has a
-meaning inside its own process only: nothing here is ever compared with the
-clock of another instance.
+Durations and points in time are plain ``int`` milliseconds.  A point in time
+is valid inside its own process only and is never compared with the clock of
+another instance.
 """
 
 import time
@@ -14,20 +14,20 @@
     """The process's monotonic clock."""
 
     def now(self) -> Millis:
-        """Return the milliseconds since some fixed moment."""
+        """Return the milliseconds since an arbitrary fixed point."""
         return time.monotonic_ns() // 1_000_000
 
     def now_with_suspend(self) -> Millis:
-        """Return the milliseconds, those of a suspended machine included.
+        """Return the milliseconds, including time spent suspended.
 
-        The monotonic clock stands still while a machine is suspended; a
-        lease that is counted by it would outlive its time.
+        The monotonic clock stops while a machine is suspended; a lease timed
+        by it would be held beyond its end.
         """
         return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1_000_000
 
 
 class ManualClock(Clock):
-    """A clock that moves only when told, for tests and replays."""
+    """A clock that is advanced explicitly, for tests and replays."""
 
     def __init__(self, start: Millis = 0):
         """Start at ``start`` milliseconds."""
@@ -39,14 +39,14 @@
         return self._now
 
     def now_with_suspend(self) -> Millis:
-        """Return the time last set, with what was spent suspended."""
+        """Return the time last set plus ``suspended``."""
         return self._now + self.suspended
 
     def advance(self, by: Millis):
-        """Move forward by ``by`` milliseconds."""
+        """Advance by ``by`` milliseconds."""
         self._now += by
 
 
 def seconds(millis: Millis) -> float:
-    """Convert for the library calls that take seconds."""
+    """Return seconds, for library calls that take them."""
     return millis / 1000
--- a/clementinewall/domain.py
+++ b/clementinewall/domain.py
@@ -1,4 +1,4 @@
-"""Types that the gateway and the platform's translation share.
+"""Types shared by the gateway and the translation of platform messages.
 
 :mod:`clementinewall.platform` decodes messages into these types; the gateway
 and the lab decide on them.  This module imports neither, so that both can
@@ -25,22 +25,26 @@
 
     grace_ms: clock.Millis = 8_000
     # Retries of all gateways together, for each service in a sliding
-    # window: this part of its requests and so many besides.
+    # window: at most this fraction of its requests plus the slack.
     retry_ratio: float = 0.2
     retry_window_ms: clock.Millis = 10_000
     retry_slack: float = 50.0
-    # How long callers keep the addresses that they were told, at most.
+    # How long callers keep the addresses that they were given, at most.
     addresses_ttl_ms: clock.Millis = 5_000
-    # A change of the configuration must be in force by then, and a leaving
-    # endpoint get no new work.
+    # Time limits for a change of the configuration to take effect, and for a
+    # draining endpoint to get no new work.
     configuration_ms: clock.Millis = 2_000
     draining_ms: clock.Millis = 2_000
-    # Orders of two holders to one engine must be so far apart.
+    # Orders of two lease holders to one engine must be this far apart.
     order_interval_ms: clock.Millis = 3_000
 
 
 class Settings(typing.NamedTuple):
-    """What a gateway process learns from its settings."""
+    """The settings of a gateway process.
+
+    ``callers``, ``ready``, ``directory`` and ``store`` are addresses, as
+    ``host:port``; the first three are listened on.
+    """
 
     instance: str
     ip: str
@@ -52,19 +56,23 @@
     store: str
     bounds: Bounds
     metrics_port: int | None = None
-    # Of the instance's own link; 0 if it isn't known.
+    # Bandwidth of the instance's own link; 0 if it isn't known.
     link_mbps: float = 0.0
 
 
 class Share(typing.NamedTuple):
-    """A service that a route leads to, with its part of the requests."""
+    """A service that a route leads to, with its weight among the shares."""
 
     service: str
     weight: float
 
 
 class Route(typing.NamedTuple):
-    """Where requests of one host and path prefix go, and their targets."""
+    """The services and targets of requests for one host and path prefix.
+
+    ``goal_ms`` is the target of a call or of the first event of a stream,
+    ``gap_goal_ms`` that between two events.
+    """
 
     name: str
     host: str
@@ -85,7 +93,7 @@
 
 
 class EngineLimits(typing.NamedTuple):
-    """What all engines of one model service have in common."""
+    """The limits that all engines of one model service share."""
 
     slots: int
     kv_tokens: int
@@ -102,7 +110,7 @@
 
 
 class Configuration(typing.NamedTuple):
-    """One version of what operators publish."""
+    """One version of the configuration that operators publish."""
 
     version: int
     routes_by_host: dict[str, tuple[Route, ...]]
@@ -120,7 +128,7 @@
 class Endpoint(typing.NamedTuple):
     """One endpoint as it registered itself.
 
-    ``incarnation`` tells two lives under the same id apart.
+    ``incarnation`` grows with each restart under the same id.
     """
 
     id: str
@@ -134,7 +142,7 @@
 
     @property
     def incarnation_key(self):
-        """Return what is unique to this life of the endpoint."""
+        """Return a key that is unique to this incarnation."""
         return self.id, self.incarnation, self.address
 
 
@@ -146,11 +154,11 @@
 
 
 class CacheChange(typing.NamedTuple):
-    """Parts of prompts as an engine keeps them, or those that changed.
+    """Prompt parts in an engine's cache, all of them or those that changed.
 
-    ``tokens`` of a part are those that are kept now, none if it was dropped.
-    ``epoch`` is another one after a restart of the engine, ``next`` where the
-    changes go on, and ``is_gap`` tells that some are missing.
+    ``tokens`` of a part are those cached now, 0 if it was evicted.  ``epoch``
+    changes with a restart of the engine, ``next`` is the offset of the next
+    change, and ``is_gap`` tells that some changes are missing.
     """
 
     epoch: str
@@ -188,7 +196,7 @@
 
 
 class Prefilled(typing.NamedTuple):
-    """A prompt that one engine has read, for another to fetch."""
+    """A prompt that one engine has prefilled, for another to fetch."""
 
     address: str
     handle: str
@@ -196,19 +204,19 @@
 
     @property
     def source(self):
-        """Return where the memory of the prompt can be fetched."""
+        """Return where the KV cache of the prompt can be fetched."""
         return f"{self.address}/{self.handle}"
 
 
 class EngineReport(typing.NamedTuple):
-    """How many orders an engine has accepted; whether it is at one now."""
+    """How many orders an engine has accepted; whether it executes one."""
 
     orders: int
     is_busy: bool
 
 
 class EndpointLoad(typing.NamedTuple):
-    """The load that an endpoint says it has, with its answers."""
+    """The load that an endpoint reports with its answers."""
 
     running: int
     waiting: int
--- a/clementinewall/policy/cells.py
+++ b/clementinewall/policy/cells.py
@@ -1,21 +1,22 @@
 """Cells: which gateways and engines work together, as a pure function.
 
-Gateways that share an engine have to tell each other every prompt they send
-there.  Among all gateways of a large deployment that grows with the square of
-their number.  So gateways and engines are dealt into cells of about the size
-of a small deployment, and the cost for each gateway stays the same however
-many there are.  The price is that a cell's engines can't help another cell;
-callers spread over gateways at random, so the cells' loads differ little.
-
-All gateways that see the same members deal alike; while their views differ,
-they misjudge some engine's load for a moment, and nothing else.
+Gateways that share an engine have to send each other every prompt that they
+place there.  Among all gateways of a large deployment that traffic grows with
+the square of their number.  So gateways and engines are assigned to cells of
+about the size of a small deployment, and the cost for each gateway stays the
+same however many there are.  The drawback is that a cell's engines can't serve
+another cell; callers choose gateways at random, so the cells' loads differ
+little.
+
+All gateways that see the same members compute the same assignment.  While
+their views differ, they briefly misjudge some engine's load, and nothing else.
 """
 
 import typing
 import zlib
 
-# Gateways in a cell.  Smaller cells leave an engine's load to fewer gateways
-# but have fewer engines to choose from.
+# In smaller cells fewer gateways share an engine, but there are fewer engines
+# to choose from.
 GATEWAYS_PER_CELL = 8
 
 
@@ -27,7 +28,7 @@
 
 
 class Engine(typing.NamedTuple):
-    """An engine to be dealt: those of each service and stage evenly."""
+    """An engine to assign; each service and stage is spread evenly."""
 
     id: str
     service: str
@@ -37,7 +38,7 @@
 def count(gateways, engines):
     """Return how many cells there are."""
     by_gateways = round(gateways / GATEWAYS_PER_CELL)
-    # A cell needs an engine of each stage, and another one beside it.
+    # A cell needs an engine of each stage and a second one as a spare.
     by_engines = engines // 4
     return max(1, min(by_gateways, by_engines))
 
@@ -58,10 +59,10 @@
 
 
 def _engines(mine, cells, engines):
-    """Yield the ids of a cell's engines, of each service and stage its part.
+    """Yield the ids of a cell's engines, a share of each service and stage.
 
-    The larger parts of a stage go to the cells after those that got the
-    larger parts of the stage before, so that the sums are even too.
+    The larger shares of a stage go to the cells after those that got the
+    larger shares of the stage before, so that the totals are even too.
     """
     ids_by_kind = {}
     for engine in engines:
@@ -76,23 +77,24 @@
 
 
 def _quotas(items, cells, first):
-    """Return how many items each cell gets, larger parts from ``first`` on."""
+    """Return the number of items per cell, larger ones from ``first`` on."""
     base, larger = divmod(items, cells)
     return [base + ((cell - first) % cells < larger) for cell in range(cells)]
 
 
 def _fill(names, quotas):
-    """Return the cell of each name: that of its hash, or the next with room.
+    """Return the cell of each name: by its hash, or the next that isn't full.
 
-    Dealt in turn by their order, one lost engine would move all that follow
-    it to other cells, whose gateways know nothing of their caches and work.
+    If they were assigned round-robin in sorted order, one lost engine would
+    move all that follow it to other cells, whose gateways know nothing of
+    their caches and work.
     """
-    room = list(quotas)
+    free = list(quotas)
     cell_by_name = {}
     for name in names:
-        cell = zlib.crc32(name.encode()) % len(room)
-        while not room[cell]:
-            cell = (cell + 1) % len(room)
-        room[cell] -= 1
+        cell = zlib.crc32(name.encode()) % len(free)
+        while not free[cell]:
+            cell = (cell + 1) % len(free)
+        free[cell] -= 1
         cell_by_name[name] = cell
     return cell_by_name
--- a/clementinewall/policy/prefill_queue.py
+++ b/clementinewall/policy/prefill_queue.py
@@ -1,19 +1,19 @@
-"""When an engine gets to a prompt, from the prompts that are known there.
+"""When an engine starts on a prompt, predicted from its known queue.
 
-Engines take the most urgent waiting prompt, the first come among equals, and
-read it to its end: an urgent prompt doesn't interrupt a long one that has
-begun.
+Engines take the most urgent waiting prompt, in order of arrival among equals,
+and prefill it without preemption: an urgent prompt doesn't interrupt a long
+one that has begun.
 """
 
 import typing
 
-# An answer arrives so much after the prompt was read, while the engine is at
-# the next one already.
+# An answer arrives this long after the end of the prefill, when the engine is
+# already at the next prompt.
 ANSWER_MS = 28
 
 
 class Job(typing.NamedTuple):
-    """A prompt at an engine: its urgency, 0 first, and its reading time."""
+    """A prompt at an engine: its urgency, 0 first, and its prefill time."""
 
     urgency: int
     cost_ms: float
@@ -21,10 +21,10 @@
 
 
 def wait_ms(jobs, last_end, now, urgency):
-    """Return how long a new prompt waits until its reading begins.
+    """Return how long a new prompt waits until its prefill begins.
 
     ``jobs`` are those that were sent and not answered, ``last_end`` is when
-    the last answer came; all times are in milliseconds.
+    the last answer arrived; all times are in milliseconds.
     """
     if not jobs:
         return 0.0
@@ -41,7 +41,7 @@
 
 
 def _next(waiting, free_at):
-    """Return when the next reading begins, and which."""
+    """Return when the next prefill begins, and its job."""
     start = max(free_at, min(job.sent_at for job in waiting))
     there = [job for job in waiting if job.sent_at <= start]
     return start, min(there, key=lambda job: (job.urgency, job.sent_at))
--- a/clementinewall/policy/store_polling.py
+++ b/clementinewall/policy/store_polling.py
@@ -1,31 +1,32 @@
-"""Which gateway reads the store, and when others read for themselves.
-
-Load this answers: calls to the store are paid for, and grow with the number
-of gateways if each one reads each topic.  So one gateway reads and tells the
-others, and each of the others reads for itself only when it heard nothing for
-too long.  Nobody is elected: the gateways that hear each other stand in a
-line, by address, and each one's patience grows with its place.  Lost
-datagrams, a dead or cut off reader and views of the line that differ cost a
-few more calls, and never more than one bounded delay.
+"""Which gateway polls the store, and when others read it themselves.
+
+Calls to the store are billed, and grow with the number of gateways if each one
+polls each topic.  So one gateway of a group polls and announces what it read,
+and each of the others reads only when it has received nothing for too long.
+There is no election: gateways that receive each other's heartbeats are ranked
+by address, and the time-out of each grows with its rank.  Lost datagrams, a
+dead or partitioned reader and differing views of the ranks cost a few more
+calls, and never more than one bounded delay.
 """
 
 import typing
 
-# Gateways for which one reads.  What the reader sends grows with their number.
+# Gateways for which one polls.  What it sends grows with their number.
 GROUP_SIZE = 64
-# A gateway that isn't the first in line waits for so many cycles of the
-# reader, and each one further back longer by this part, up to a limit: if
-# the first few die together, all others read for themselves once.
-PATIENCE = 1.4
-STEP = 0.1
-MOST_STEPS = 4
-# The first in line asks a store that is away this often, and tells the others
-# when it is back.  These ask less often, since each call is paid for.
+# Time-out, in poll cycles, of the gateway at rank 1.  Each further rank waits
+# longer by this many cycles, up to a limit: if the first few gateways die
+# together, all others read once.
+TIMEOUT_CYCLES = 1.4
+TIMEOUT_STEP_CYCLES = 0.1
+MAX_STEPS = 4
+# Interval at which the gateway at rank 0 retries an unreachable store; it
+# announces when the store is back.  Others retry less often, since each call
+# is billed.
 RETRY_MS = 200
 
 
 class PollCycle(typing.NamedTuple):
-    """How a topic is read: how long a read may wait, and the gap after it."""
+    """How long a read of a topic may wait, and the pause after it, in ms."""
 
     wait_ms: int
     gap_ms: int
@@ -37,28 +38,28 @@
 
 
 def group(own, others):
-    """Return the gateways that one of them reads for, in their line."""
+    """Return the gateways of the group of ``own``, by rank."""
     names = sorted({own, *others})
     groups = max(1, round(len(names) / GROUP_SIZE))
     return names[names.index(own) % groups :: groups]
 
 
 def rank(own, others):
-    """Return the place of ``own`` in line; the first, 0, reads.
+    """Return the rank of ``own`` in its group; the gateway at 0 polls.
 
-    ``others`` are the addresses of the gateways that are heard and serve.
+    ``others`` are the addresses of the live gateways that serve callers.
     """
     return group(own, others).index(own)
 
 
-def max_age_ms(pace, rank_in_group):
-    """Return how old the last known read may get before the next own one."""
+def max_age_ms(cycle, rank_in_group):
+    """Return the age in ms of the last known read at which to read again."""
     if rank_in_group == 0:
-        return pace.gap_ms
-    steps = min(rank_in_group - 1, MOST_STEPS)
-    return pace.cycle_ms * (PATIENCE + STEP * steps)
+        return cycle.gap_ms
+    steps = min(rank_in_group - 1, MAX_STEPS)
+    return cycle.cycle_ms * (TIMEOUT_CYCLES + TIMEOUT_STEP_CYCLES * steps)
 
 
-def retry_ms(pace, rank_in_group):
-    """Return how long to wait after a call that failed."""
-    return min(max(RETRY_MS, pace.cycle_ms), RETRY_MS * (1 + rank_in_group))
+def retry_ms(cycle, rank_in_group):
+    """Return the delay in ms before the next call after a failed one."""
+    return min(max(RETRY_MS, cycle.cycle_ms), RETRY_MS * (1 + rank_in_group))
