--- a/clementinewall/policy/load_tracking.py
+++ b/clementinewall/policy/load_tracking.py
@@ -1,21 +1,21 @@
-"""What one entry believes of an engine's load between two reports.
+"""One entry's estimate of an engine's load between two reports.
 
-Reports come late and all entries send on them.  The entry adds what it sent
-since the last report, scaled by its part of the arrivals that the report
-showed: with eight entries its own count is about an eighth of the truth.
+Reports lag, and all entries send by them.  The entry adds what it sent since
+the last report, scaled up by its share of the arrivals that the report showed:
+with eight entries its own count is about an eighth of the total.
 """
 
 from clementinewall.policy import endpoint_health
 from clementinewall.policy import routing
 
 MAX_SCALE = 16.0
-SILENT_MS = 4_000
-# The part of earlier counts that is kept at each report.
-KEPT = 0.9
+STALE_MS = 4_000
+# Fraction of the earlier counts that is kept at each report.
+KEPT_FRACTION = 0.9
 
 
 class Tracker:
-    """The load of one engine as one entry knows it."""
+    """One entry's estimate of the load of one engine."""
 
     def __init__(self):
         """Begin without a report."""
@@ -30,24 +30,24 @@
         self._own = 0.0
 
     def sent(self, tokens):
-        """Count work that is sent now; ``tokens`` is its prompt work."""
+        """Count a request sent now with ``tokens`` of prompt work."""
         self._tokens += tokens
         self._streams += 1
         self.open += 1
 
     def ended(self):
-        """Count the end of one such work."""
+        """Count the end of a request."""
         self.open -= 1
 
     def apply_report(self, report, now):
-        """Take in a report that describes the engine as of ``now``."""
+        """Apply a report of the engine's load as of ``now``."""
         if self.report is not None:
             arrived = max(0, report.arrived - self.report.arrived)
             # The ratio of sums, not the mean of ratios: between two reports
             # an entry sends one or two streams, and the mean of ratios of
-            # such small numbers came out far too high.
-            self._all = KEPT * self._all + arrived
-            self._own = KEPT * self._own + self._streams
+            # such small numbers is far too high.
+            self._all = KEPT_FRACTION * self._all + arrived
+            self._own = KEPT_FRACTION * self._own + self._streams
             if self._own > 0:
                 part = self._all / self._own
                 self._scale = min(MAX_SCALE, max(1.0, part))
@@ -73,11 +73,11 @@
             cached_tokens=cached_tokens,
             slowness=self.health.slowness,
         )
-        if now - self.at > SILENT_MS:
-            # What was sent since the last report has mostly been worked
-            # off, but no report says so: adding it up would show an engine
-            # ever fuller and refuse work that it could do.  What is still
-            # open here, scaled, is the best that is known.
+        if now - self.at > STALE_MS:
+            # Most of what was sent since the last report has been completed,
+            # but no report says so: summing it would show an ever fuller
+            # engine and refuse work that it could do.  The requests that are
+            # still open here, scaled, are the best estimate.
             return known._replace(running=self.open * self._scale)
         return known._replace(
             queued_tokens=report.queued_tokens,
@@ -87,7 +87,7 @@
         )
 
     def record_answer(self, gap_ms=None):
-        """Note an answer and the time seen between its tokens."""
+        """Record an answer and the observed ms between its tokens."""
         expected = None
         if gap_ms is not None and self.report is not None:
             seen = self.candidate("", self.at, 0.0)
--- a/clementinewall/policy/placement.py
+++ b/clementinewall/policy/placement.py
@@ -52,8 +52,8 @@
 MIN_RETRY_MS = 50
 # Engines that crash or change their stage are unavailable for seconds.
 NO_DECODE_RETRY_MS = 1_000
-# Time of a fetch before its first byte, as published by the operators.  A fetch
-# is worth it up to this fraction of the prefill time that it saves: the cached
+# Time of a fetch before its first byte, as published by the operators.  It is
+# worth it up to this fraction of the prefill time that it saves: the cached
 # content is inferred from what was sent there, and may have been evicted.
 FETCH_SETUP_MS = 5.0
 MAX_FETCH_FRACTION = 0.6
--- a/clementinewall/policy/reconcile.py
+++ b/clementinewall/policy/reconcile.py
@@ -1,15 +1,15 @@
-"""The next order for an engine, from its own report and what is wanted.
+"""The next order for an engine, from its report and its desired state.
 
-Nothing is remembered between two orders: a steward that takes a scope over
-in the middle of a change goes on from what the engine reports.  An engine
-is changed only while it is quiesced and empty, so a change cuts nothing.
+No state is kept between two orders: a steward that takes over a scope in the
+middle of a change continues from what the engine reports.  An engine is
+changed only while it is quiesced and empty, so a change cuts no request.
 """
 
 import typing
 
 
 class DesiredState(typing.NamedTuple):
-    """What is wanted of an engine; an empty word leaves it as it is."""
+    """The desired state of an engine; an empty string changes nothing."""
 
     state: str
     role: str = ""
@@ -24,42 +24,42 @@
     reason: str
 
 
-def next_step(wanted, report, may_change):
+def next_step(desired, report, may_change):
     """Return the next step.
 
-    ``may_change`` tells whether this engine may be taken away from work
-    now, which only one engine of a model may be at a time.
+    ``may_change`` tells whether this engine may be taken out of service for a
+    change now, as only one engine of a model may be at a time.
     """
-    differs = _difference(wanted, report)
+    differs = _difference(desired, report)
     if report.changing:
         return Step("", "", "a change is under way")
-    if wanted.state != "serving":
+    if desired.state != "serving":
         if report.quiesced:
-            return Step("", "", "it is leaving and takes no work")
-        return Step("quiesce", "", "it is leaving")
+            return Step("", "", "draining and quiesced")
+        return Step("quiesce", "", "draining")
     if differs is None:
         if report.quiesced:
-            return Step("resume", "", "it is as wanted")
-        return Step("", "", "it is as wanted")
+            return Step("resume", "", "in the desired state")
+        return Step("", "", "in the desired state")
     if not may_change:
-        return Step("", "", "another engine of its model is changing")
+        return Step("", "", "another engine of the model is changing")
     if not report.quiesced:
         return Step("quiesce", "", f"before {differs[0]}")
     if report.running:
-        return Step("", "", f"waits for {report.running} streams")
-    return Step(differs[0], differs[1], "it is empty")
+        return Step("", "", f"waiting for {report.running} streams to end")
+    return Step(differs[0], differs[1], "quiesced and empty")
 
 
-def needs_change(wanted, report):
-    """Tell whether the engine must be taken away from work for a change."""
-    return wanted.state == "serving" and (
-        _difference(wanted, report) is not None
+def needs_change(desired, report):
+    """Tell whether the engine must be taken out of service for a change."""
+    return desired.state == "serving" and (
+        _difference(desired, report) is not None
     )
 
 
-def _difference(wanted, report):
-    if wanted.role and wanted.role != report.role:
-        return ("set_role", wanted.role)
-    if wanted.version and wanted.version != report.version:
-        return ("load", wanted.version)
+def _difference(desired, report):
+    if desired.role and desired.role != report.role:
+        return ("set_role", desired.role)
+    if desired.version and desired.version != report.version:
+        return ("load", desired.version)
     return None
--- a/clementinewall/policy/roles.py
+++ b/clementinewall/policy/roles.py
@@ -1,39 +1,40 @@
 """Which engine should change its role, as a pure function.
 
-The work of a model is a demand for prompt work and for decoding, both in
-engines kept busy by it.  A split of the engines over the roles serves a
-part of that demand.  A change is proposed only where the answers gained over
-the horizon outweigh those lost while the engine is away and the published
-price of a change, under both the short and the long view of the demand: a
-swing that is over before a change pays shows in the short view only.
+The load of a model is a demand for prefill and for decode, both in engines
+kept busy by it.  A split of the engines over the roles serves a fraction of
+that demand.  A change is proposed only if the answers gained over the horizon
+outweigh those lost while the engine is unavailable and the published price of
+a change, under both the short and the long average of the demand: a swing that
+ends before a change pays shows in the short average only.
 """
 
 import typing
 
 ROLES = ("mixed", "prefill", "decode")
-SPECIAL_COST = 0.8
-FOREIGN_COST = 3.0
-# On a mixed engine prompt work holds up the tokens of the other streams by
-# this part, for as long as there is any.
+SPECIALIZED_COST = 0.8
+OFF_ROLE_COST = 3.0
+# On a mixed engine prefill slows the decode of other streams by this fraction,
+# while there is any.
 MIXED_SLOWDOWN = 0.5
 POOL_LOSS = 0.3
-# A gain must beat its cost by this factor, and be this part of the answers
-# at least, or noise in the demand would turn engines back and forth.
-CLEAR_GAIN = 2.0
-LEAST_GAIN = 0.03
-# After a change, its effect must show in the long view before the next.
+# A gain must exceed its cost by this factor, and be at least this fraction of
+# the answers, or noise in the demand would change engines back and forth.
+MIN_GAIN_PER_COST = 2.0
+MIN_GAIN_FRACTION = 0.03
+# Wait after a change, in times of a change: its effect must show in the long
+# average before the next one.
 SETTLE_CHANGES = 4
-# Streams that end before an engine is empty take about this long.
+# Approximate time until the streams of a quiesced engine have ended.
 DRAIN_S = 6.0
-WHOLE_SEARCH = 12
-NEAR_SEARCH = 2
-LONGEST_PATIENCE = 16.0
-SHORT_MS = 10_000
-LONG_MS = 60_000
-SHORTFALL_MS = 20_000
-MIX_MOVED = 0.15
-LONGEST_HORIZON_MS = 1_800_000
-LEAST_SERVED = 0.2
+FULL_SEARCH_ENGINES = 12
+NEAR_SEARCH_CHANGES = 2
+MAX_BACKOFF = 16.0
+SHORT_WINDOW_MS = 10_000
+LONG_WINDOW_MS = 60_000
+SHORTFALL_WINDOW_MS = 20_000
+MIN_MIX_CHANGE = 0.15
+MAX_HORIZON_MS = 1_800_000
+MIN_SERVED_FRACTION = 0.2
 BISECTIONS = 24
 
 
@@ -48,7 +49,7 @@
 
 
 class Demand(typing.NamedTuple):
-    """Work per second in engines kept busy, and answers per second."""
+    """Prefill and decode in engines kept busy, and answers per second."""
 
     prefill: float
     decode: float
@@ -66,7 +67,7 @@
 
 
 def served(counts, demand):
-    """Return the part of the demand that a split of engines serves.
+    """Return the fraction of the demand that a split of engines serves.
 
     ``counts`` is a map from role to the number of engines.
     """
@@ -83,20 +84,20 @@
 
 
 def propose(engines, short, long, policy, shortfall, horizon_ms):
-    """Return the change that is worth most, or ``None``.
+    """Return the change with the largest net gain, or ``None``.
 
-    ``short`` and ``long`` are the demand over a short and a long while,
-    ``shortfall`` the part of the requests that lately missed their target:
-    no change can gain more than that, whatever the estimate says.  The gain
-    counts over ``horizon_ms``.
+    ``short`` and ``long`` are short and long averages of the demand,
+    ``shortfall`` the fraction of recent requests that missed their target: no
+    change can gain more than that, whatever the estimate says.  The gain is
+    counted over ``horizon_ms``.
     """
     if any(engine.is_unavailable for engine in engines):
-        # One change at a time: the demand on the others shows the effect
-        # of a change only after it.
+        # One change at a time: its effect shows in the demand on the other
+        # engines only after it.
         return None
     best = None
     for then in _targets(engines, policy):
-        proposal = _weigh(
+        proposal = _evaluate(
             engines, then, short, long, policy, shortfall, horizon_ms
         )
         if proposal is not None and _is_better(proposal, best):
@@ -112,41 +113,41 @@
     return counts
 
 
-def _fits(counts, demand, part):
-    """Tell whether a split of engines serves ``part`` of the demand."""
-    prefill = demand.prefill * part * SPECIAL_COST
-    decode = demand.decode * part * SPECIAL_COST
+def _fits(counts, demand, fraction):
+    """Tell whether a split of engines serves this fraction of the demand."""
+    prefill = demand.prefill * fraction * SPECIALIZED_COST
+    decode = demand.decode * fraction * SPECIALIZED_COST
     prefill_left = _usable(counts["prefill"]) - prefill
     decode_left = _usable(counts["decode"]) - decode
-    rest_prefill = max(0.0, -prefill_left) / SPECIAL_COST
-    rest_decode = max(0.0, -decode_left) / SPECIAL_COST
+    mixed_prefill = max(0.0, -prefill_left) / SPECIALIZED_COST
+    mixed_decode = max(0.0, -decode_left) / SPECIALIZED_COST
     mixed = _usable(counts["mixed"])
-    busy = min(1.0, rest_prefill / mixed) if mixed else 1.0
-    rest = rest_prefill + rest_decode * (1 + MIXED_SLOWDOWN * busy)
+    busy = min(1.0, mixed_prefill / mixed) if mixed else 1.0
+    mixed_work = mixed_prefill + mixed_decode * (1 + MIXED_SLOWDOWN * busy)
     idle = max(0.0, prefill_left) + max(0.0, decode_left)
-    return rest - mixed <= idle / FOREIGN_COST
+    return mixed_work - mixed <= idle / OFF_ROLE_COST
 
 
 def _usable(count):
     """Return how many engines' time a pool can use and answer in time.
 
-    Work comes in at random, so that a pool of one must idle more than a
-    pool of many to keep its queue short.  This is what speaks against
-    cutting a small fleet into roles.
+    Work arrives at random, so that a pool of one must idle more than a pool
+    of many to keep its queue short.  This makes splitting a small fleet into
+    roles expensive.
     """
     return count - POOL_LOSS * count**0.5
 
 
 def _targets(engines, policy):
-    """Yield the splits to weigh, as maps from role to number of engines.
+    """Yield the splits to evaluate, as maps from role to number of engines.
 
     A good split may be several changes away with none of the first ones
     worth it alone.  In a large pool only splits a few changes away are
-    weighed; more follow when those are done.
+    evaluated; more follow when those are done.
     """
     now = count_roles(engines)
     total = len(engines)
-    reach = total if total <= WHOLE_SEARCH else NEAR_SEARCH
+    reach = total if total <= FULL_SEARCH_ENGINES else NEAR_SEARCH_CHANGES
     for prefill in _near(now["prefill"], reach, total):
         for decode in _near(now["decode"], reach, total):
             mixed = total - prefill - decode
@@ -165,7 +166,7 @@
     return prefill >= policy.min_prefill and decode >= policy.min_decode
 
 
-def _weigh(engines, then, short, long, policy, shortfall, horizon_ms):
+def _evaluate(engines, then, short, long, policy, shortfall, horizon_ms):
     """Return the first change towards ``then`` if all of them pay."""
     now = count_roles(engines)
     move = _first_move(engines, now, then)
@@ -173,18 +174,20 @@
         return None
     engine, role = move
     steps = sum(max(0, then[name] - now[name]) for name in ROLES)
-    # What the present split serves is known from its misses; only the
-    # other split's part is an estimate.
-    better = served(then, long) - max(served(now, long), 1 - shortfall)
+    # What the present split serves is known from its misses; only that of the
+    # other split is an estimate.
+    gained_fraction = served(then, long) - max(
+        served(now, long), 1 - shortfall
+    )
     change_s = policy.change_ms / 1_000
     away_s = steps * (change_s + DRAIN_S)
     stays_s = max(0.0, horizon_ms / 1_000 - away_s)
-    gain = better * long.answers * stays_s
+    gain = gained_fraction * long.answers * stays_s
     without = {**now, engine.role: now[engine.role] - 1}
     lost = served(now, short) - served(without, short)
     price = policy.change_price * change_s * steps
     cost = lost * short.answers * away_s + price
-    if better < LEAST_GAIN or gain <= cost * CLEAR_GAIN:
+    if gained_fraction < MIN_GAIN_FRACTION or gain <= cost * MIN_GAIN_PER_COST:
         return None
     reason = (
         f"{then['prefill']}p{then['mixed']}m{then['decode']}d serves "
@@ -211,43 +214,43 @@
 
 
 class ModelPlan:
-    """The planning of one model's roles, from round to round.
+    """The state of one model's role planning between passes.
 
-    Beside the smoothed demand it keeps how well the last change did.  A
-    change that left the shortfall where it was doubles the wait before the
-    next one: where the mix swings faster than changes pay, the system soon
-    leaves the roles alone.
+    Beside the averaged demand it keeps the effect of the last change.  A
+    change that didn't reduce the shortfall doubles the delay before the next
+    one: where the mix swings faster than changes pay, changes soon stop.
     """
 
     def __init__(self, now):
-        """Begin at ``now`` without any demand seen."""
+        """Begin at ``now`` without demand."""
         self.short = None
         self.long = None
         self.shortfall = 0.0
         self._changed_at = now
         self._before = None
-        self._patience = 1.0
+        self._backoff = 1.0
         self._mix = None
         self._mix_since = now
 
     def record_demand(self, demand, offered, good, elapsed_ms):
-        """Take in what the last ``elapsed_ms`` brought."""
-        self.short = _blend(self.short, demand, elapsed_ms / SHORT_MS)
-        self.long = _blend(self.long, demand, elapsed_ms / LONG_MS)
+        """Record the demand and outcomes of the last ``elapsed_ms``."""
+        self.short = _blend(self.short, demand, elapsed_ms / SHORT_WINDOW_MS)
+        self.long = _blend(self.long, demand, elapsed_ms / LONG_WINDOW_MS)
         if offered:
             missed = max(0.0, 1 - good / offered)
-            part = min(1.0, elapsed_ms / SHORTFALL_MS)
-            self.shortfall += part * (missed - self.shortfall)
+            fraction = min(1.0, elapsed_ms / SHORTFALL_WINDOW_MS)
+            self.shortfall += fraction * (missed - self.shortfall)
 
     def next_change(self, engines, policy, now):
         """Return the change to make now, or ``None``."""
-        wait = policy.change_ms * SETTLE_CHANGES * self._patience
+        wait = policy.change_ms * SETTLE_CHANGES * self._backoff
         if self.long is None or now - self._changed_at < wait:
             return None
         self._judge_last_change()
-        # What was refused left no work behind to be measured.  Without this
-        # an overloaded fleet looks as if another split could serve it all.
-        share = max(LEAST_SERVED, 1 - self.shortfall)
+        # Refused requests leave no work to be measured.  Without this
+        # correction an overloaded fleet looks as if another split could serve
+        # everything.
+        share = max(MIN_SERVED_FRACTION, 1 - self.shortfall)
         return propose(
             engines,
             _scaled(self.short, 1 / share),
@@ -258,29 +261,29 @@
         )
 
     def record_change(self, now):
-        """Note that a change was begun."""
+        """Record that a change was begun."""
         self._changed_at = now
         self._before = self.shortfall
 
     def _horizon(self, policy, now):
-        """Return how long a change may be expected to be of use.
+        """Return how long in ms a change is expected to be of use.
 
-        A mix that has stood for long is expected to stand as long again.
+        A mix is expected to last as long again as it has lasted.
         """
         mix = _mix(self.short)
-        if self._mix is None or abs(mix - self._mix) > MIX_MOVED:
+        if self._mix is None or abs(mix - self._mix) > MIN_MIX_CHANGE:
             self._mix = mix
             self._mix_since = now
-        stood = min(LONGEST_HORIZON_MS, now - self._mix_since)
-        return max(policy.horizon_ms, stood)
+        lasted_ms = min(MAX_HORIZON_MS, now - self._mix_since)
+        return max(policy.horizon_ms, lasted_ms)
 
     def _judge_last_change(self):
         if self._before is None:
             return
-        if self._before - self.shortfall < LEAST_GAIN / 2:
-            self._patience = min(LONGEST_PATIENCE, self._patience * 2)
+        if self._before - self.shortfall < MIN_GAIN_FRACTION / 2:
+            self._backoff = min(MAX_BACKOFF, self._backoff * 2)
         else:
-            self._patience = max(1.0, self._patience / 2)
+            self._backoff = max(1.0, self._backoff / 2)
         self._before = None
 
 
@@ -297,10 +300,10 @@
     return demand.prefill / total if total else 0.0
 
 
-def _blend(old, new, part):
+def _blend(old, new, fraction):
     if old is None:
         return new
-    part = min(1.0, part)
+    fraction = min(1.0, fraction)
     return Demand(
-        *(before + part * (now - before) for before, now in zip(old, new))
+        *(before + fraction * (now - before) for before, now in zip(old, new))
     )
--- a/clementinewall/policy/routing.py
+++ b/clementinewall/policy/routing.py
@@ -3,21 +3,21 @@
 Reports lag, so each candidate is described by its last report and by what
 this entry has sent since.  The choice is by predicted time to the first
 token and between tokens against the targets of the class; cached prefixes
-count as prompt work saved.  No clock, no sockets, no random source in here:
-the caller passes a draw, so that every choice can be replayed.
+count as prompt work saved.  The module uses no clock, socket or random source:
+the caller passes a random number, so that every choice can be replayed.
 """
 
 import typing
 
-# Scores this close to the best count as equal, and the draw decides: with a
-# strict minimum all entries would send to the same engine until its next
-# report shows the crowd.
-NEARLY_EQUAL = 1.15
-# Beyond this part of the target, prefixes are no reason to stay.
+# Scores up to this multiple of the best count as equal, and the draw decides:
+# with a strict minimum all entries would send to the same engine until its
+# next report shows the load.
+NEARLY_EQUAL_FACTOR = 1.15
+# Up to this fraction of the target an engine is preferred for its cache.
 AFFINITY_LIMIT = 0.5
-# A report this old says little: the rank grows by this share for each
-# second, so a fresh engine is preferred and a silent one is not abandoned.
-STALE_SHARE = 0.05
+# Old reports say little: the rank grows by this fraction per second of age, so
+# that engines with fresh reports are preferred and others are still used.
+STALE_PENALTY_PER_S = 0.05
 STALE_AFTER_MS = 2_000
 PREFILL_FACTOR = {"mixed": 1.0, "prefill": 0.8, "decode": 3.0}
 DECODE_FACTOR = {"mixed": 1.0, "prefill": 3.0, "decode": 0.8}
@@ -42,7 +42,7 @@
 
 
 class Work(typing.NamedTuple):
-    """What is asked: tokens of prompt, targets in milliseconds."""
+    """A request: tokens of its prompt, and its targets in milliseconds."""
 
     prompt_tokens: int
     first_ms: int
@@ -50,7 +50,7 @@
 
 
 class Choice(typing.NamedTuple):
-    """The engine chosen and why; a score over 1 misses the target."""
+    """The chosen engine and why; with a score over 1 it misses a target."""
 
     id: str
     score: float
@@ -70,29 +70,29 @@
 
 def predict_gap(candidate):
     """Return the predicted milliseconds between tokens."""
-    crowd = candidate.running + candidate.sent_streams + 1
+    streams = candidate.running + candidate.sent_streams + 1
     factor = DECODE_FACTOR[candidate.role] * candidate.slowness
-    return candidate.gap_ms * max(1.0, crowd / candidate.slots) * factor
+    return candidate.gap_ms * max(1.0, streams / candidate.slots) * factor
 
 
 def score(candidate, work):
     """Return how much of its targets the candidate would use up."""
     first = predict_first(candidate, work.prompt_tokens) / work.first_ms
     between = predict_gap(candidate) / work.gap_ms
-    # The sum's small part breaks ties towards the engine that is better in
-    # the other target too; the larger of the two decides.
+    # The larger ratio decides; the small term breaks ties in favour of the
+    # engine that is also better at the other target.
     return max(first, between) + 0.1 * min(first, between)
 
 
 def rank(candidate, work):
     """Return the score with a penalty for an old report.
 
-    The penalty is for choosing among engines only.  When all reports stop,
-    it says nothing of the load; counted in admission, it refused nearly
+    The penalty is only for choosing among engines.  When all reports stop, it
+    says nothing about the load: applied to admission, it would refuse nearly
     everything after half a minute without reports.
     """
     stale = max(0, candidate.report_age_ms - STALE_AFTER_MS) / 1_000
-    return score(candidate, work) * (1 + STALE_SHARE * stale)
+    return score(candidate, work) * (1 + STALE_PENALTY_PER_S * stale)
 
 
 def choose(candidates, work, draw, preferred=()):
@@ -100,9 +100,9 @@
 
     ``draw`` is a number from 0 to 1 that decides among nearly equal ones.
     The ``preferred`` ids go first as long as they leave half the target
-    unused: they are those that equal prompts find at every entry, so their
-    caches hold the prefix, and a request that crashes its engine, sent
-    through all entries at once, still reaches few.
+    unused.  Every entry prefers the same engines for equal prompts, so their
+    caches hold the prefix, and a request that crashes its engine reaches few
+    engines even if it is sent through all entries at once.
     """
     if not candidates:
         return None
@@ -114,7 +114,7 @@
 
 def _best(candidates, work, draw, word):
     ranked = sorted((rank(c, work), c.id, c) for c in candidates)
-    limit = ranked[0][0] * NEARLY_EQUAL
+    limit = ranked[0][0] * NEARLY_EQUAL_FACTOR
     equal = [item for item in ranked if item[0] <= limit]
     _, name, chosen = equal[int(draw * len(equal)) % len(equal)]
     return Choice(
@@ -127,7 +127,7 @@
 
 
 class Split(typing.NamedTuple):
-    """Prompt work on one engine, tokens from another."""
+    """Prefill on one engine, decode on another."""
 
     prefill_id: str
     decode: Choice
@@ -136,7 +136,7 @@
 def choose_split(candidates, work, draw, move_ms):
     """Return the best split, or ``None`` where the roles don't allow one.
 
-    ``move_ms`` is what moving the KV cache of this prompt costs.
+    ``move_ms`` is the transfer time of the prompt's KV cache.
     """
     prefill = [c for c in candidates if c.role == "prefill"]
     decode = [c for c in candidates if c.role != "prefill"]
@@ -146,8 +146,8 @@
         prefill, key=lambda c: (predict_first(c, work.prompt_tokens), c.id)
     )
     before = predict_first(first, work.prompt_tokens) + move_ms
-    # The decoding engine gets the prompt's cache, so it has no prompt work
-    # of this request, and its queue of prompts doesn't hold it up.
+    # The decode engine fetches the KV cache, so this request needs no prefill
+    # there and does not wait for its queue of prompts.
     idle = [c._replace(queued_tokens=0, sent_tokens=0) for c in decode]
     left = work._replace(
         prompt_tokens=0, first_ms=max(1, int(work.first_ms - before))
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission: true refusals, with when to come back."""
+"""Whom admission refuses, and the time to retry that it gives."""
 
 import unittest
 
@@ -22,11 +22,11 @@
 
 
 class JudgeTest(unittest.TestCase):
-    """Whom admission lets in."""
+    """Which requests are admitted."""
 
     @hypothesis.given(DEMAND, st.floats(0, 100))
-    def test_a_refusal_says_when_to_come_back(self, demand, score):
-        """A caller that is refused can act on the answer."""
+    def test_a_refusal_gives_a_time_to_retry(self, demand, score):
+        """A refusal gives a time to retry within the limits."""
         verdict = admission.decide(choice(score), demand, 1_000)
         if not verdict.admit:
             self.assertGreaterEqual(
@@ -37,19 +37,19 @@
             )
 
     @hypothesis.given(DEMAND, st.floats(0, admission.PRESSURE))
-    def test_without_pressure_everybody_is_let_in(self, demand, score):
-        """Even a caller who takes all, while nobody is hurt by it."""
+    def test_everybody_is_admitted_at_low_load(self, demand, score):
+        """Even a caller who uses everything, while nobody is delayed."""
         self.assertTrue(admission.decide(choice(score), demand, 1_000).admit)
 
     @hypothesis.given(DEMAND, st.floats(0, 3))
     def test_a_higher_priority_is_never_worse_off(self, demand, score):
-        """What a low priority gets, a high one gets too."""
+        """What is admitted at a low priority is admitted at a high one."""
         low = demand._replace(priority=0)
         high = demand._replace(priority=9)
         if admission.decide(choice(score), low, 1_000).admit:
             self.assertTrue(admission.decide(choice(score), high, 1_000).admit)
 
-    def test_a_flooding_caller_waits_under_pressure(self):
+    def test_a_flooding_caller_is_refused_under_load(self):
         """One of forty callers sends half of all work."""
         flood = admission.Demand(5, 0.5, 40)
         other = admission.Demand(5, 0.02, 40)
--- a/tests/policy/test_drain.py
+++ b/tests/policy/test_drain.py
@@ -1,4 +1,4 @@
-"""What a process that has to stop may still take."""
+"""Estimates of how long a request may take at a draining process."""
 
 import math
 import unittest
@@ -8,7 +8,7 @@
 SHORT = drain.Stream(first_ms=40, tokens_out=4, slots=128)
 
 
-class Needed(unittest.TestCase):
+class Durations(unittest.TestCase):
     """How long a request may take."""
 
     def test_a_long_answer_needs_longer_than_a_short_one(self):
@@ -16,12 +16,12 @@
         self.assertLess(drain.stream_ms(SHORT), 1_000)
         self.assertGreater(drain.stream_ms(long), 9_000)
 
-    def test_a_late_first_event_is_allowed_for(self):
+    def test_a_late_first_event_adds_to_the_duration(self):
         late = SHORT._replace(first_ms=400)
         difference = drain.stream_ms(late) - drain.stream_ms(SHORT)
         self.assertGreaterEqual(difference, 2 * 360)
 
-    def test_an_answer_of_unknown_length_may_take_for_ever(self):
+    def test_an_answer_of_unknown_length_is_unbounded(self):
         unknown = SHORT._replace(tokens_out=0)
         self.assertEqual(drain.stream_ms(unknown), math.inf)
         self.assertEqual(drain.stream_ms(unknown, 0.5), math.inf)
@@ -35,28 +35,28 @@
         self.assertGreater(drain.call_ms(400, 2.0), drain.call_ms(400))
 
 
-class RatiosTest(unittest.TestCase):
-    """What the last requests took."""
+class DurationRatiosTest(unittest.TestCase):
+    """Durations of the last requests."""
 
-    def test_few_say_nothing(self):
+    def test_few_samples_give_no_estimate(self):
         ratios = drain.DurationRatios()
         ratios.record(300, 600)
         self.assertIsNone(ratios.quantile())
 
-    def test_slow_ones_count_although_most_are_fast(self):
+    def test_rare_slow_requests_set_the_quantile(self):
         ratios = drain.DurationRatios()
         for number in range(drain.MAX_SAMPLES):
             ratios.record(900 if number % 50 == 0 else 100, 1_000)
         self.assertEqual(ratios.quantile(), 0.9)
 
-    def test_old_ones_are_forgotten(self):
+    def test_old_samples_are_dropped(self):
         ratios = drain.DurationRatios()
         for took_ms in (900, 100):
             for _ in range(drain.MAX_SAMPLES):
                 ratios.record(took_ms, 1_000)
         self.assertEqual(ratios.quantile(), 0.1)
 
-    def test_what_has_no_longest_time_teaches_nothing(self):
+    def test_samples_without_a_longest_time_are_ignored(self):
         ratios = drain.DurationRatios()
         for longest_ms in (0, math.inf):
             for _ in range(drain.MAX_SAMPLES):
--- a/tests/policy/test_prefill_queue.py
+++ b/tests/policy/test_prefill_queue.py
@@ -1,4 +1,4 @@
-"""The order in which engines read prompts, as a pure prediction."""
+"""Predicted waits in the prefill queue of an engine."""
 
 import unittest
 
@@ -22,15 +22,15 @@
 
 
 class Wait(unittest.TestCase):
-    """``wait_ms`` against queues that can be followed by hand."""
+    """``wait_ms`` on queues that can be checked by hand."""
 
-    def test_an_idle_engine_reads_at_once(self):
+    def test_an_idle_engine_prefills_at_once(self):
         self.assertEqual(prefill_queue.wait_ms([], 0, 1_000, 0), 0)
 
     def test_an_urgent_prompt_waits_for_the_one_that_has_begun(self):
-        # A short prompt comes while an engine reads one of 300 ms.  Were it
-        # taken for an interruption, the caller would be promised an answer
-        # 250 ms too early and another engine left idle.
+        # A short prompt arrives during a prefill of 300 ms.  If it were
+        # predicted to preempt it, the answer would come 250 ms later than
+        # predicted, while another engine is idle.
         jobs = [Job(2, 300, 1_000)]
         wait = prefill_queue.wait_ms(jobs, 0, 1_050, 0)
         self.assertAlmostEqual(wait, 250)
@@ -44,22 +44,20 @@
             prefill_queue.wait_ms(jobs, 0, 1_050, 2), 50 + 10 + 100
         )
 
-    def test_reading_goes_on_from_the_last_answer(self):
-        # The answer to the first prompt has just come; the engine has been
-        # at the second one since, not since it was sent.
+    def test_a_prefill_begins_at_the_last_answer(self):
+        # The answer to the first prompt has just arrived; the engine has
+        # worked on the second one since then, not since it was sent.
         jobs = [Job(1, 100, 1_000)]
         wait = prefill_queue.wait_ms(jobs, 1_060 + ANSWER, 1_100, 1)
         self.assertAlmostEqual(wait, 60)
 
-    def test_a_prompt_that_was_read_is_no_wait(self):
+    def test_a_finished_prefill_adds_no_wait(self):
         jobs = [Job(1, 50, 1_000)]
         self.assertEqual(prefill_queue.wait_ms(jobs, 0, 1_060, 1), 0)
 
     @hypothesis.given(JOBS, strategies.floats(0, 1_000))
     @hypothesis.settings(derandomize=True, max_examples=300)
-    def test_never_longer_than_all_work_or_shorter_if_urgent(
-        self, jobs, last_end
-    ):
+    def test_waits_are_bounded_and_ordered_by_urgency(self, jobs, last_end):
         now = 1_000
         waits = [
             prefill_queue.wait_ms(jobs, last_end, now, urgency)
--- a/tests/policy/test_prefill_scale.py
+++ b/tests/policy/test_prefill_scale.py
@@ -1,4 +1,4 @@
-"""How many times as long as predicted engines read, as it is seen."""
+"""Estimates of the ratio of actual to predicted prefill times."""
 
 import random
 import unittest
@@ -6,14 +6,14 @@
 from clementinewall.policy import prefill_scale
 
 
-def learned(scale, samples, seed, spoiled=0.0):
-    """Return an estimate after so many prompts, a part of them spoiled."""
+def estimate_after(scale, samples, seed, delayed=0.0):
+    """Return an estimate after so many prompts, a fraction of them delayed."""
     chances = random.Random(seed)
     found = prefill_scale.PrefillScale()
     for _ in range(samples):
         predicted = chances.uniform(20, 200)
         seen = predicted * scale * chances.uniform(0.9, 1.1)
-        if chances.random() < spoiled:
+        if chances.random() < delayed:
             seen += chances.uniform(100, 2_000)
         found.record(seen, predicted)
     return found.estimate
@@ -25,22 +25,24 @@
     def test_each_speed_is_found_after_some_prompts(self):
         for scale in (0.5, 1.0, 1.4, 3.0):
             with self.subTest(scale=scale):
-                found = prefill_scale.combined([learned(scale, 40, 1)])
+                found = prefill_scale.combined([estimate_after(scale, 40, 1)])
                 self.assertAlmostEqual(found / scale, 1.0, delta=0.15)
 
-    def test_prompts_that_waited_unseen_do_not_spoil_it(self):
-        found = prefill_scale.combined([learned(1.4, 60, 2, spoiled=0.25)])
+    def test_prompts_with_unseen_waits_do_not_distort_it(self):
+        found = prefill_scale.combined(
+            [estimate_after(1.4, 60, 2, delayed=0.25)]
+        )
         self.assertAlmostEqual(found / 1.4, 1.0, delta=0.25)
 
-    def test_gateways_that_saw_little_know_it_together(self):
-        few = [learned(2.0, 6, seed) for seed in range(9)]
+    def test_estimates_from_few_samples_add_up(self):
+        few = [estimate_after(2.0, 6, seed) for seed in range(9)]
         found = prefill_scale.combined(few)
         self.assertAlmostEqual(found / 2.0, 1.0, delta=0.25)
 
-    def test_a_gateway_that_starts_believes_the_prediction(self):
+    def test_the_scale_is_1_without_samples(self):
         self.assertEqual(prefill_scale.combined([]), 1.0)
 
-    def test_short_prompts_say_nothing(self):
+    def test_short_prompts_are_ignored(self):
         found = prefill_scale.PrefillScale()
         found.record(500.0, prefill_scale.MIN_PREDICTED_MS / 2)
         self.assertEqual(found.estimate.weight, 0)
--- a/tests/policy/test_routing.py
+++ b/tests/policy/test_routing.py
@@ -47,7 +47,7 @@
         rank_by_id = {c.id: routing.rank(c, work) for c in candidates}
         best = min(rank_by_id.values())
         self.assertLessEqual(
-            rank_by_id[choice.id], best * routing.NEARLY_EQUAL
+            rank_by_id[choice.id], best * routing.NEARLY_EQUAL_FACTOR
         )
 
     @hypothesis.given(CANDIDATES, WORK, DRAW)
@@ -58,7 +58,10 @@
         plain = routing.choose(candidates, work, draw)
         self.assertLessEqual(
             choice.score,
-            max(plain.score, routing.AFFINITY_LIMIT * routing.NEARLY_EQUAL),
+            max(
+                plain.score,
+                routing.AFFINITY_LIMIT * routing.NEARLY_EQUAL_FACTOR,
+            ),
         )
 
     @hypothesis.given(CANDIDATES, WORK)
