--- a/clementinewall/gateway/lease.py
+++ b/clementinewall/gateway/lease.py
@@ -31,22 +31,22 @@
 # Beyond the span between two holders' orders that the deployment demands:
 # for an order on its way, and for the drift of two clocks.
 MARGIN_MS = 2_000
-BOOT_BYTES = 6
+BOOT_ID_BYTES = 6
 
 
-class Held(typing.NamedTuple):
+class HeldLease(typing.NamedTuple):
     """A lease: its token, and until when orders may be sent."""
 
     token: int
     end: clock.Millis
 
 
-class _Seen(typing.NamedTuple):
+class _SeenClaim(typing.NamedTuple):
     """The newest record of the topic, and when it was first seen."""
 
     offset: int
     holder: str
-    boot: str
+    boot_id: str
     is_released: bool
     at: clock.Millis
 
@@ -59,15 +59,15 @@
         self._store = store.Store(settings.store, ticker.now)
         self._clock = ticker
         self._holder = settings.ip
-        self._boot = secrets.token_hex(BOOT_BYTES)
+        self._boot_id = secrets.token_hex(BOOT_ID_BYTES)
         self._turn_ms = settings.bounds.turn_ms
-        self._wait_ms = LEASE_MS + self._turn_ms + MARGIN_MS
-        self._seen = None
+        self._takeover_wait_ms = LEASE_MS + self._turn_ms + MARGIN_MS
+        self._latest_claim = None
         self._held = None
-        self._waited_for = None
+        self._logged_wait_for = None
         # The offset of the claim that this instance has to release.
-        self._standing = None
-        self._ordered_at = None
+        self._unreleased_claim = None
+        self._last_order_at = None
 
     def is_held(self):
         """Tell whether orders may be sent at this moment."""
@@ -80,21 +80,21 @@
         return self._held.token
 
     @property
-    def is_standing(self):
+    def has_unreleased_claim(self):
         """Tell whether a claim of this instance keeps others waiting."""
-        return self._standing is not None
+        return self._unreleased_claim is not None
 
-    def note_order(self):
+    def record_order(self):
         """Note that an order is sent now, or may still have been."""
-        self._ordered_at = self._clock.now_with_suspend()
+        self._last_order_at = self._clock.now_with_suspend()
 
-    async def look(self):
+    async def refresh(self):
         """Note which claim stands, so that its age is known when it matters.
 
         :raises LogUnavailable: the store doesn't answer.
         """
         batch = await self._store.newest(records.LEASES_TOPIC)
-        self._look(_newest(batch.records))
+        self._record_claim(_newest_claim(batch.records))
 
     async def claim(self):
         """Try to get or renew the lease; return whether it is held.
@@ -102,20 +102,20 @@
         :raises LogUnavailable: the store doesn't answer.
         """
         batch = await self._store.newest(records.LEASES_TOPIC)
-        newest = _newest(batch.records)
-        self._look(newest)
+        newest = _newest_claim(batch.records)
+        self._record_claim(newest)
         if not self._may_claim():
-            self._note_wait()
+            self._log_wait()
             return False
         started = self._clock.now_with_suspend()
         offset = await self._store.append(
-            records.LEASES_TOPIC, KEY, self._record(False), at=batch.end
+            records.LEASES_TOPIC, KEY, self._encode(False), at=batch.end
         )
         if offset is None:
             _log.info("lease claimed by another gateway first", at=batch.end)
             return False
-        self._held = Held(offset, started + LEASE_MS)
-        self._standing = offset
+        self._held = HeldLease(offset, started + LEASE_MS)
+        self._unreleased_claim = offset
         _log.info("lease held", token=offset, for_ms=LEASE_MS)
         return self.is_held()
 
@@ -124,65 +124,68 @@
 
         :raises LogUnavailable: it isn't known whether it was released.
         """
-        if self._standing is None or not self._is_settled():
+        if self._unreleased_claim is None or not self._is_release_safe():
             return
         # A release without an answer may be written later, so no order may
         # follow it.
         self._held = None
-        claim = self._standing
+        claim = self._unreleased_claim
         offset = await self._store.append(
-            records.LEASES_TOPIC, KEY, self._record(True), at=claim + 1
+            records.LEASES_TOPIC, KEY, self._encode(True), at=claim + 1
         )
-        self._standing = None
+        self._unreleased_claim = None
         if offset is not None:
             _log.info("lease released", token=claim)
 
-    def _record(self, is_released):
+    def _encode(self, is_released):
         value = {
             "holder": self._holder,
-            "boot": self._boot,
+            "boot": self._boot_id,
             "released": is_released,
         }
         return json.dumps(value).encode()
 
-    def _is_settled(self):
+    def _is_release_safe(self):
         """Tell whether an order of the next holder can't be too close."""
-        if self._ordered_at is None:
+        if self._last_order_at is None:
             return True
         apart_ms = self._turn_ms + MARGIN_MS
-        return self._clock.now_with_suspend() >= self._ordered_at + apart_ms
+        return self._clock.now_with_suspend() >= self._last_order_at + apart_ms
 
-    def _look(self, record):
+    def _record_claim(self, record):
         """Note the claim that stands, and since when it is seen."""
         if record is None:
-            self._seen = None
+            self._latest_claim = None
             return
-        if self._seen is not None and self._seen.offset >= record.offset:
+        if (
+            self._latest_claim is not None
+            and self._latest_claim.offset >= record.offset
+        ):
             return
         seen = self._decode(record)
-        self._seen = seen
+        self._latest_claim = seen
         _log.info(
             "claim seen",
             token=seen.offset,
             holder=seen.holder,
             released=seen.is_released,
-            is_own=seen.boot == self._boot,
+            is_own=seen.boot_id == self._boot_id,
         )
         if seen.holder != self._holder or seen.is_released:
-            self._standing = None
+            self._unreleased_claim = None
             return
         # Also a claim whose answer got lost keeps others waiting.
-        self._standing = seen.offset
-        if seen.boot != self._boot:
+        self._unreleased_claim = seen.offset
+        if seen.boot_id != self._boot_id:
             # The process before this one may have ordered just before it
             # ended.
-            self.note_order()
+            self.record_order()
 
     def _decode(self, record):
         now = self._clock.now()
         try:
             data = json.loads(record.value)
-            return _Seen(
+            return _SeenClaim(
                 record.offset,
                 str(data["holder"]),
                 str(data["boot"]),
@@ -191,30 +194,32 @@
             )
         except (ValueError, KeyError, TypeError, AttributeError) as exc:
             _log.warning("unreadable claim", offset=record.offset, why=exc)
-            return _Seen(record.offset, "", "", False, now)
+            return _SeenClaim(record.offset, "", "", False, now)
 
     def _may_claim(self):
-        seen = self._seen
+        seen = self._latest_claim
         if seen is None or seen.is_released or seen.holder == self._holder:
             return True
-        return self._wait_left_ms() <= 0
+        return self._remaining_wait_ms() <= 0
 
-    def _wait_left_ms(self):
-        return self._seen.at + self._wait_ms - self._clock.now()
+    def _remaining_wait_ms(self):
+        return (
+            self._latest_claim.at + self._takeover_wait_ms - self._clock.now()
+        )
 
-    def _note_wait(self):
+    def _log_wait(self):
         """Log, once for each claim, that it keeps this gateway waiting."""
-        if self._waited_for == self._seen.offset:
+        if self._logged_wait_for == self._latest_claim.offset:
             return
-        self._waited_for = self._seen.offset
+        self._logged_wait_for = self._latest_claim.offset
         _log.info(
             "waits for the claim of another holder to end",
-            token=self._seen.offset,
-            holder=self._seen.holder,
-            left_ms=self._wait_left_ms(),
+            token=self._latest_claim.offset,
+            holder=self._latest_claim.holder,
+            left_ms=self._remaining_wait_ms(),
         )
 
 
-def _newest(records):
+def _newest_claim(records):
     found = [record for record in records if record.key == KEY]
     return max(found, key=lambda record: record.offset, default=None)
--- a/clementinewall/gateway/program.py
+++ b/clementinewall/gateway/program.py
@@ -126,7 +126,7 @@
             topic_followers.configuration_follower(*self._known()),
             topic_followers.fleet_follower(*self._known()),
         ):
-            follower.share(self._peers)
+            follower.share_updates(self._peers)
             start(follower.run)
         start(self._meet_peers)
         start(self._peers.run)
--- a/clementinewall/gateway/stage_manager.py
+++ b/clementinewall/gateway/stage_manager.py
@@ -24,29 +24,29 @@
 
 _log = logs.PartLog("stage")
 
-LOOK_MS = 250
+POLL_INTERVAL_MS = 250
 # So many engines, one of this number, may be away for a change at a time:
 # of six engines a second one away costs more than the change gains.
-AWAY_PART = 6
+ENGINES_PER_CONCURRENT_CHANGE = 6
 # So many gateways, the first in line, look so often which claim stands.
-LOOKERS = 8
-CLAIM_LOOK_MS = 8_000
+CLAIM_POLLERS = 8
+CLAIM_POLL_INTERVAL_MS = 8_000
 RELEASE_RETRY_MS = 1_000
 # The next gateway in line acts when a change stays undone for so long more, or
 # sooner where it presses: after so many times as it has to last.
-TURN_MS = 3_000
-TURN_LASTING = 3
+MAX_TAKEOVER_DELAY_MS = 3_000
+TAKEOVER_DELAY_FACTOR = 3
 # An order without an answer may be carried out up to 12 s later.
-UNANSWERED_MS = 14_000
+UNANSWERED_COOLDOWN_MS = 14_000
 # An engine that couldn't be asked is left out of the plan for so long.
-UNREACHABLE_MS = 2_000
+UNREACHABLE_COOLDOWN_MS = 2_000
 # After an order its effect has to show in the engine's record, which is
 # written about every 1,200 ms; then the next change is planned.
-SETTLE_MS = 1_500
+SETTLING_COOLDOWN_MS = 1_500
 ORDER_TIMEOUT_MS = 1_000
-ACCEPTED = (200, 202)
+ACCEPTED_STATUSES = (200, 202)
 # An engine that is at an order is asked again after so long.
-BUSY_MS = 500
+BUSY_COOLDOWN_MS = 500
 
 
 class StageManager:
@@ -62,72 +62,77 @@
         self._clock = ticker
         self._lease = lease_module.Lease(settings, ticker)
         self._wanted_since = None
-        self._why = None
-        self._look_at = 0
-        self._release_at = 0
+        self._wanted_reason = None
+        self._next_claim_poll = 0
+        self._next_release_attempt = 0
         self._cooldowns = cooldowns.Cooldowns(ticker.now)
-        self._resting_by_service = {}
+        self._logged_cooldowns_by_service = {}
 
     async def run(self):
         """Look and act until cancelled."""
         while True:
-            await anyio.sleep(clock.seconds(LOOK_MS))
-            await self.look()
+            await anyio.sleep(clock.seconds(POLL_INTERVAL_MS))
+            await self.poll()
 
-    async def look(self):
+    async def poll(self):
         """Make the change that is needed, if it is this gateway's turn."""
         # The lease and the wait for an order's effect would outlive a
         # gateway that stops.
         if not self._is_ready():
             await self._release()
             return
-        await self._look_ahead()
+        await self._refresh_claim()
         found = self._plan()
         now = self._clock.now()
         if found is None:
             self._wanted_since = None
             await self._release()
             return
-        if self._wanted_since is None or found[1].why != self._why:
+        if self._wanted_since is None or found[1].why != self._wanted_reason:
             self._wanted_since = now
-            self._why = found[1].why
-            self._note_wanted(*found)
-        if now - self._wanted_since >= self._patience_ms(found[1]):
+            self._wanted_reason = found[1].why
+            self._log_wanted(*found)
+        if now - self._wanted_since >= self._action_delay_ms(found[1]):
             await self._act(*found)
 
     async def _release(self):
         """Give the lease back once the orders given under it had effect."""
         now = self._clock.now()
-        if self._cooldowns.has_pending_order or now < self._release_at:
+        if (
+            self._cooldowns.has_pending_order
+            or now < self._next_release_attempt
+        ):
             return
         try:
             await self._lease.release()
         except errors.LogUnavailable as exc:
-            self._release_at = now + RELEASE_RETRY_MS
+            self._next_release_attempt = now + RELEASE_RETRY_MS
             _log.info("lease not released", why=exc.message)
 
-    def _note_wanted(self, service, change):
+    def _log_wanted(self, service, change):
         _log.info(
             "change wanted",
             service=service.name,
             engine=change.id,
             prefill=change.prefill,
             why=change.why,
-            patience_ms=self._patience_ms(change),
+            patience_ms=self._action_delay_ms(change),
         )
 
-    def _patience_ms(self, change):
+    def _action_delay_ms(self, change):
         """Return how long a change has to be needed before it is made here.
 
         Nobody else may claim sooner than the instance whose claim stands.
         """
-        turn_ms = min(TURN_MS, TURN_LASTING * change.lasting_ms)
-        in_line = self._peers.place_in_line()
-        if self._lease.is_standing:
-            in_line = 0
-        return change.lasting_ms + in_line * turn_ms
+        takeover_delay_ms = min(
+            MAX_TAKEOVER_DELAY_MS, TAKEOVER_DELAY_FACTOR * change.lasting_ms
+        )
+        position = self._peers.place_in_line()
+        if self._lease.has_unreleased_claim:
+            position = 0
+        return change.lasting_ms + position * takeover_delay_ms
 
-    async def _look_ahead(self):
+    async def _refresh_claim(self):
         """Keep the claim that stands in sight.
 
         A gateway that sees a claim for the first time has to wait until it
@@ -136,14 +141,14 @@
         """
         now = self._clock.now()
         # A gateway that starts looks in any place: the claim may be its own.
-        is_first = not self._look_at
-        if now < self._look_at:
+        is_first = not self._next_claim_poll
+        if now < self._next_claim_poll:
             return
-        if not is_first and self._peers.place_in_line() >= LOOKERS:
+        if not is_first and self._peers.place_in_line() >= CLAIM_POLLERS:
             return
-        self._look_at = now + CLAIM_LOOK_MS
+        self._next_claim_poll = now + CLAIM_POLL_INTERVAL_MS
         try:
-            await self._lease.look()
+            await self._lease.refresh()
         except errors.LogUnavailable as exc:
             _log.info("lease not looked at", why=exc.message)
 
@@ -161,34 +166,36 @@
             change = stages.plan([self._engine(state) for state in states])
             if change is None:
                 continue
-            if self._is_held_back(service, states, change):
+            if self._is_blocked(service, states, change):
                 continue
             return service, change
         return None
 
-    def _is_held_back(self, service, states, change):
+    def _is_blocked(self, service, states, change):
         """Tell whether so many engines are away that no other may be."""
-        resting = {}
+        cooldown_by_id = {}
         for state in states:
-            rest = self._cooldowns.active(state.endpoint.id)
-            if rest and rest.cause is not cooldowns.Cause.UNREACHABLE:
-                resting[state.endpoint.id] = rest
-        if len(resting) < max(1, len(states) // AWAY_PART):
-            self._resting_by_service.pop(service.name, None)
+            cooldown = self._cooldowns.active(state.endpoint.id)
+            if cooldown and cooldown.cause is not cooldowns.Cause.UNREACHABLE:
+                cooldown_by_id[state.endpoint.id] = cooldown
+        if len(cooldown_by_id) < max(
+            1, len(states) // ENGINES_PER_CONCURRENT_CHANGE
+        ):
+            self._logged_cooldowns_by_service.pop(service.name, None)
             return False
         if change.is_pressing and all(
-            rest.cause is cooldowns.Cause.UNANSWERED
-            for rest in resting.values()
+            cooldown.cause is cooldowns.Cause.UNANSWERED
+            for cooldown in cooldown_by_id.values()
         ):
             return False
-        self._note_resting(service, sorted(resting))
+        self._log_blocked(service, sorted(cooldown_by_id))
         return True
 
-    def _note_resting(self, service, names):
+    def _log_blocked(self, service, names):
         """Log, once for each set of engines, that no other may be changed."""
-        if self._resting_by_service.get(service.name) == names:
+        if self._logged_cooldowns_by_service.get(service.name) == names:
             return
-        self._resting_by_service[service.name] = names
+        self._logged_cooldowns_by_service[service.name] = names
         _log.info(
             "no change while engines are away for one",
             service=service.name,
@@ -203,13 +210,13 @@
             for peer in self._peers.table.states()
             if state.endpoint.id in peer.work_by_endpoint
         )
-        rest = self._cooldowns.active(state.endpoint.id)
+        cooldown = self._cooldowns.active(state.endpoint.id)
         stage = state.endpoint.stage
         is_lost = state.is_lost()
-        if rest is not None:
+        if cooldown is not None:
             # Its record shows the new stage only when the change is over.
-            stage = rest.stage or stage
-            is_lost = rest.cause is not cooldowns.Cause.SETTLING
+            stage = cooldown.stage or stage
+            is_lost = cooldown.cause is not cooldowns.Cause.SETTLING
         return stages.Engine(
             state.endpoint.id,
             stage == domain.PREFILL,
@@ -237,7 +244,7 @@
             with anyio.fail_after(clock.seconds(ORDER_TIMEOUT_MS)):
                 report = await self._report(state)
                 if report.is_busy:
-                    self._note_busy(state, change)
+                    self._handle_busy(state, change)
                     return
                 # Asking took time; an order that leaves after the lease could
                 # meet one of the next holder.
@@ -245,23 +252,23 @@
                     _log.info("lease over before the order", engine=change.id)
                     return
                 is_sent = True
-                self._lease.note_order()
+                self._lease.record_order()
                 status = await self._send(state, change, report.orders)
         except (client.LinkBroken, TimeoutError, errors.BadRecord) as exc:
-            self._note_failure(state, exc, is_sent)
+            self._handle_failure(state, exc, is_sent)
         else:
-            self._note_answer(service, state, change, status)
+            self._handle_response(service, state, change, status)
         if is_sent:
             # A process that was paused sent it long after it began to.
-            self._lease.note_order()
+            self._lease.record_order()
 
     async def _report(self, state):
-        head, report = await self._ask(state, calls.report())
+        head, report = await self._send_request(state, calls.report())
         if head.status != 200:
             raise errors.BadRecord(f"report with {head.status}")
         return calls.engine_report(report)
 
-    def _note_busy(self, state, change):
+    def _handle_busy(self, state, change):
         """Wait for an order that another process has given.
 
         Given again, the same change would begin anew.
@@ -270,7 +277,7 @@
         self._cooldowns.start(
             state.endpoint.id,
             cooldowns.Cause.SETTLING,
-            BUSY_MS,
+            BUSY_COOLDOWN_MS,
             _stage(change),
         )
 
@@ -282,7 +289,7 @@
             self._lease.token,
             sequence,
         )
-        head, _body = await self._ask(state, order)
+        head, _body = await self._send_request(state, order)
         metrics.count("orders", status=head.status)
         _log.info(
             "stage ordered",
@@ -295,37 +302,43 @@
         )
         return head.status
 
-    def _note_answer(self, service, state, change, status):
+    def _handle_response(self, service, state, change, status):
         """Leave the engine alone until the order has had its effect."""
-        rest_ms = SETTLE_MS
+        cooldown_ms = SETTLING_COOLDOWN_MS
         if status == 202:
-            rest_ms += service.engine.switch_ms
+            cooldown_ms += service.engine.switch_ms
             state.away_until = self._clock.now() + service.engine.switch_ms
             self._peers.tell()
-        stage = _stage(change) if status in ACCEPTED else None
+        stage = _stage(change) if status in ACCEPTED_STATUSES else None
         self._cooldowns.start(
-            state.endpoint.id, cooldowns.Cause.SETTLING, rest_ms, stage
+            state.endpoint.id, cooldowns.Cause.SETTLING, cooldown_ms, stage
         )
 
-    def _note_failure(self, state, exc, is_sent):
+    def _handle_failure(self, state, exc, is_sent):
         """Leave the engine alone, for long only if the order may arrive."""
-        kind, rest_ms = cooldowns.Cause.UNREACHABLE, UNREACHABLE_MS
-        if is_sent and not _surely_not_run(exc):
-            kind, rest_ms = cooldowns.Cause.UNANSWERED, UNANSWERED_MS
+        cause, rest_ms = (
+            cooldowns.Cause.UNREACHABLE,
+            UNREACHABLE_COOLDOWN_MS,
+        )
+        if is_sent and not _is_not_executed(exc):
+            cause, rest_ms = (
+                cooldowns.Cause.UNANSWERED,
+                UNANSWERED_COOLDOWN_MS,
+            )
         else:
             is_absent = isinstance(exc, client.LinkBroken) and exc.absent
             state.health.failed(self._clock.now(), is_absent)
-        metrics.count("orders", status=kind.value)
-        self._cooldowns.start(state.endpoint.id, kind, rest_ms)
+        metrics.count("orders", status=cause.value)
+        self._cooldowns.start(state.endpoint.id, cause, rest_ms)
         _log.warning(
             "order failed",
             engine=state.endpoint.id,
-            kind=kind.value,
+            kind=cause.value,
             rest_ms=rest_ms,
             why=getattr(exc, "why", None) or repr(exc),
         )
 
-    async def _ask(self, state, request):
+    async def _send_request(self, state, request):
         """Ask on a connection of its own.
 
         A kept one may have gone silent, and closing it takes along what
@@ -338,7 +351,7 @@
     return domain.PREFILL if change.prefill else domain.DECODE
 
 
-def _surely_not_run(exc):
+def _is_not_executed(exc):
     """Tell whether nothing of an order has reached the engine."""
     if not isinstance(exc, client.LinkBroken):
         return False
--- a/clementinewall/gateway/topic_followers.py
+++ b/clementinewall/gateway/topic_followers.py
@@ -1,9 +1,10 @@
-"""The tasks that know the platform's store and keep the beliefs current.
+"""Tasks that follow topics of the platform's store.
 
-Each topic is followed by one task with a connection of its own: first the
-newest record of each key, then what follows.  What one gateway reads it
-tells the others, see :mod:`clementinewall.policy.reading_turns`.  When the
-store is away, serving goes on with what is known.
+One task with its own connection follows each topic: it reads the newest
+record of each key, then the records after them, and applies them to the
+gateway's fleet view.  A gateway sends what it reads to its peers, so that not
+every gateway has to read.  While the store is unavailable, the gateway serves
+with the last known state.
 """
 
 import anyio
@@ -19,20 +20,19 @@
 
 _log = logs.PartLog("follow")
 
-# Operators' changes are rare: a read waits for the next one.  A change has
-# to be in force within a bound of its confirmation, also at a gateway that
-# is not told of it: the last in line reads 1.8 cycles after the last news,
-# so wait and gap together take less than half of the bound.
-CONFIGURATION_PART = 0.35
-# Changes also come in quick succession: with a gap between two reads one read
-# brings several of them.
-CONFIGURATION_GAP_PART = 0.1
-# Endpoints write several times a second, so a waiting read would come back
-# at once each time.  A leaving endpoint must be known within a bound; a
-# quarter of it leaves room for the last in line and one lost read.
-FLEET_PART = 0.25
-# Gateways hear of each other by datagram; the topic is for those that start.
-# A read that waited for it would come back for each one that starts.
+# Operators' changes are rare, so a read waits for the next one.  A confirmed
+# change has to be active within a bound, also at a gateway that receives no
+# update: the last in line reads 1.8 cycles after the last update, so wait and
+# gap together take less than half of the bound.
+CONFIGURATION_WAIT_FRACTION = 0.35
+# Changes also come in quick succession; after a gap, one read returns several.
+CONFIGURATION_GAP_FRACTION = 0.1
+# Endpoints write several times a second, so a waiting read would return at
+# once each time.  A draining endpoint must be known within a bound; a quarter
+# of it allows for the last gateway in line and one lost read.
+FLEET_GAP_FRACTION = 0.25
+# Running gateways discover each other by datagram; only starting ones need the
+# topic.  A waiting read would return whenever a gateway starts.
 PEERS_GAP_MS = 30_000
 
 
@@ -40,204 +40,227 @@
     """Follows one topic for as long as it runs."""
 
     def __init__(
-        self, settings, now, topic, take_all, take, pace, newest_first=False
+        self,
+        settings,
+        now,
+        topic,
+        apply_snapshot,
+        apply_record,
+        pace,
+        newest_first=False,
     ):
-        """Hand whole states to ``take_all`` and single records to ``take``.
+        """Apply what is read with the two callbacks.
 
-        ``take`` returns whether others must be told of the record.  With
-        ``newest_first`` it gets the records of a read in that order, which
-        is for topics where the newest one overtakes all others.
+        ``apply_snapshot`` gets the newest records of all keys in a batch.
+        ``apply_record`` gets one later record and returns whether peers must
+        receive it.  With ``newest_first`` it gets the records of each read in
+        that order, for topics where the newest record replaces all others.
         """
         self._store = store.Store(settings.store, now)
         self._now = now
         self._topic = topic
-        self._take_all = take_all
-        self._take = take
+        self._apply_snapshot = apply_snapshot
+        self._apply_record = apply_record
         self._pace = pace
         self._next = None
-        self._known_at = None
+        self._synced_at = None
         self._failing_since = None
         self._journal = news_module.Journal(topic)
-        self._told = anyio.Event()
+        self._update_received = anyio.Event()
         self._is_reader = True
         self._peers = None
         self._newest_first = newest_first
-        self.on_return = None
+        self.on_store_recovered = None
 
-    def share(self, peers):
-        """Take turns in reading with ``peers``, and tell them the news."""
+    def share_updates(self, peers):
+        """Share reads with ``peers``: send them updates and receive theirs."""
         self._peers = peers
-        peers.on_news(self._topic, self.take_news)
+        peers.on_news(self._topic, self.apply_update)
 
     async def run(self):
-        """Follow until cancelled."""
+        """Follow the topic until cancelled."""
         while True:
             try:
                 await self._step()
             except store.HistoryGone:
-                _log.warning("history gone", topic=self._topic, at=self._next)
+                _log.warning(
+                    "topic history was removed, reading the newest records",
+                    topic=self._topic,
+                    at=self._next,
+                )
                 self._next = None
             except errors.LogUnavailable as exc:
-                self._failed(exc)
+                self._record_failure(exc)
                 await anyio.sleep(clock.seconds(self._retry_ms()))
-            await self._until_due()
+            await self._wait_until_due()
 
-    async def _until_due(self):
-        """Wait until it is this gateway's turn to read."""
+    async def _wait_until_due(self):
+        """Wait until this gateway has to read the topic itself."""
         while self._next is not None:
-            left = self._known_at + self._patience_ms() - self._now()
+            left = self._synced_at + self._max_age_ms() - self._now()
             if left <= 0:
                 return
-            self._told = anyio.Event()
+            self._update_received = anyio.Event()
             with anyio.move_on_after(clock.seconds(left)):
-                await self._told.wait()
+                await self._update_received.wait()
 
-    def _place(self):
+    def _queue_position(self):
         return self._peers.place_in_line() if self._peers else 0
 
-    def _patience_ms(self):
-        return reading_turns.patience_ms(self._pace, self._place())
+    def _max_age_ms(self):
+        return reading_turns.patience_ms(self._pace, self._queue_position())
 
     def _retry_ms(self):
         if self._next is None:
-            # Nobody's news helps a gateway that knows nothing yet.
+            # Updates from peers build on a snapshot, which is missing here.
             return reading_turns.RETRY_MS
-        return reading_turns.retry_ms(self._pace, self._place())
+        return reading_turns.retry_ms(self._pace, self._queue_position())
 
     async def _step(self):
         metrics.count("store_calls", topic=self._topic)
         if self._next is None:
             batch = await self._store.newest(self._topic)
-            self._worked()
+            self._record_success()
             self._journal.forget()
-            self._take_all(batch)
+            self._apply_snapshot(batch)
             self._next = batch.end
             return
         batch = await self._store.read(
             self._topic, self._next, self._pace.wait_ms
         )
-        away_ms = self._worked()
-        # News may have come while the read waited.
+        away_ms = self._record_success()
+        # A peer's update may have been applied while the read waited.
         start = self._next
         if batch.end < start:
             return
         fresh = [r for r in batch.records if r.offset >= start]
         if self._newest_first:
             fresh.reverse()
-        changed = [record for record in fresh if self._take(record)]
+        changed = [record for record in fresh if self._apply_record(record)]
         self._next = batch.end
         if self._peers is not None:
             news = self._journal.add(start, batch.end, changed, away_ms)
             self._peers.tell_news(news)
 
-    def take_news(self, news):
-        """Take in what another gateway read of this topic."""
+    def apply_update(self, news):
+        """Apply what another gateway read of this topic."""
         if self._next is None or news.end < self._next:
             return
         if news.start > self._next or not news.whole:
             if news.end > self._next:
-                self._read_soon()
+                self._make_due()
             return
         if self._is_reader:
-            _log.info("told by another gateway", topic=self._topic)
+            _log.info("updated by another gateway", topic=self._topic)
         self._is_reader = False
-        missed_ms = min(news.away_ms, self._now() - self._known_at)
-        if missed_ms and self.on_return is not None:
-            self.on_return(missed_ms)
+        missed_ms = min(news.away_ms, self._now() - self._synced_at)
+        if missed_ms and self.on_store_recovered is not None:
+            self.on_store_recovered(missed_ms)
         for record in news.records:
             if record.offset >= self._next:
-                self._take(record)
+                self._apply_record(record)
         self._next = news.end
         self._journal.forget()
-        self._known_at = self._now()
-        self._told.set()
+        self._synced_at = self._now()
+        self._update_received.set()
 
-    def _read_soon(self):
-        """Read now: there are records that were not told."""
-        self._known_at = self._now() - self._pace.cycle_ms * 2
-        self._told.set()
+    def _make_due(self):
+        """Make a read due now, as an update left out some records."""
+        self._synced_at = self._now() - self._pace.cycle_ms * 2
+        self._update_received.set()
 
-    def _failed(self, exc):
+    def _record_failure(self, exc):
         metrics.count("store_failures", topic=self._topic)
         if self._failing_since is None:
             self._failing_since = self._now()
-            _log.warning("store lost", topic=self._topic, why=exc.message)
-
-    def _worked(self):
-        """Note that the store answered; return how long it was away."""
+            _log.warning(
+                "store unavailable, serving with the last known state",
+                topic=self._topic,
+                why=exc.message,
+            )
+
+    def _record_success(self):
+        """Record an answer; return the ms for which the store was away."""
         away_ms = 0
         now = self._now()
         if self._failing_since is not None:
-            # What others read meanwhile was not missed.
-            known_at = self._known_at or self._failing_since
-            away_ms = now - max(self._failing_since, known_at)
+            # Updates that peers sent meanwhile were not missed.
+            synced_at = self._synced_at or self._failing_since
+            away_ms = now - max(self._failing_since, synced_at)
             self._failing_since = None
-            _log.info("store regained", topic=self._topic, away_ms=away_ms)
-            if self.on_return is not None:
-                self.on_return(away_ms)
+            _log.info(
+                "store available again", topic=self._topic, away_ms=away_ms
+            )
+            if self.on_store_recovered is not None:
+                self.on_store_recovered(away_ms)
         if not self._is_reader:
-            _log.info("read by this gateway", topic=self._topic)
+            _log.info("this gateway reads the topic again", topic=self._topic)
         self._is_reader = True
-        self._known_at = now
+        self._synced_at = now
         return away_ms
 
 
 def configuration_follower(settings, now, beliefs):
-    """Return the task that follows the operators' topic."""
+    """Return the :class:`Follower` of the operators' topic."""
 
-    def take(record):
+    def apply_record(record):
         beliefs.take_configuration(record)
         return record.key == records.CONFIGURATION_KEY
 
-    def take_all(batch):
+    def apply_snapshot(batch):
         for record in batch.records:
-            take(record)
+            apply_record(record)
 
     return Follower(
         settings,
         now,
         records.CONFIGURATION_TOPIC,
-        take_all,
-        take,
+        apply_snapshot,
+        apply_record,
         reading_turns.Pace(
-            int(settings.bounds.configuration_ms * CONFIGURATION_PART),
-            int(settings.bounds.configuration_ms * CONFIGURATION_GAP_PART),
+            int(
+                settings.bounds.configuration_ms * CONFIGURATION_WAIT_FRACTION
+            ),
+            int(settings.bounds.configuration_ms * CONFIGURATION_GAP_FRACTION),
         ),
-        # Only the newest configuration of a read has to be decoded.
+        # Only the newest configuration of a read needs to be decoded.
         newest_first=True,
     )
 
 
 def fleet_follower(settings, now, beliefs):
-    """Return the task that follows the endpoints' topic."""
+    """Return the :class:`Follower` of the endpoints' topic."""
     follower = Follower(
         settings,
         now,
         records.ENDPOINTS_TOPIC,
         beliefs.take_whole_fleet,
         beliefs.take_endpoint,
-        reading_turns.Pace(0, int(settings.bounds.leaving_ms * FLEET_PART)),
+        reading_turns.Pace(
+            0, int(settings.bounds.leaving_ms * FLEET_GAP_FRACTION)
+        ),
     )
-    follower.on_return = beliefs.store_returned
+    follower.on_store_recovered = beliefs.store_returned
     return follower
 
 
-def peers_follower(settings, now, take, on_whole):
-    """Return the task that follows the topic of the gateways.
+def peers_follower(settings, now, apply_record, on_snapshot_applied):
+    """Return the :class:`Follower` of the gateways' topic.
 
-    ``on_whole`` is called when all that the store names were taken in.
+    ``on_snapshot_applied`` is called after each snapshot from the store, once
+    all gateways in it were applied.
     """
 
-    def take_all(batch):
+    def apply_snapshot(batch):
         for record in batch.records:
-            take(record)
-        on_whole()
+            apply_record(record)
+        on_snapshot_applied()
 
     return Follower(
         settings,
         now,
         records.GATEWAYS_TOPIC,
-        take_all,
-        take,
+        apply_snapshot,
+        apply_record,
         reading_turns.Pace(0, PEERS_GAP_MS),
     )
--- a/tests/gateway/test_lease.py
+++ b/tests/gateway/test_lease.py
@@ -65,16 +65,16 @@
 
     def test_who_saw_a_claim_stand_need_not_wait_when_its_holder_is_gone(self):
         self.assertTrue(self.claim(self.first))
-        anyio.run(self.second.look)
-        self.advance(self.second._wait_ms - 1)
+        anyio.run(self.second.refresh)
+        self.advance(self.second._takeover_wait_ms - 1)
         self.assertFalse(self.claim(self.second))
         self.advance(1)
         self.assertTrue(self.claim(self.second))
 
     def test_a_claim_that_was_renewed_meanwhile_is_waited_out(self):
         self.assertTrue(self.claim(self.first))
-        anyio.run(self.second.look)
-        self.advance(self.second._wait_ms - 1)
+        anyio.run(self.second.refresh)
+        self.advance(self.second._takeover_wait_ms - 1)
         self.assertTrue(self.claim(self.first))
         self.advance(1)
         self.assertFalse(self.claim(self.second))
@@ -151,7 +151,7 @@
 
     def test_claim_is_not_released_right_after_an_order(self):
         self.claim(self.first)
-        self.first.note_order()
+        self.first.record_order()
         self.advance(SETTINGS.bounds.turn_ms + lease.MARGIN_MS - 1)
         anyio.run(self.first.release)
         self.assertFalse(self.claim(self.second))
@@ -162,17 +162,17 @@
     def test_restarted_instance_releases_what_it_finds_when_settled(self):
         self.claim(self.first)
         restarted = self.restart(self.first)
-        anyio.run(restarted.look)
+        anyio.run(restarted.refresh)
         anyio.run(restarted.release)
-        self.assertTrue(restarted.is_standing)
+        self.assertTrue(restarted.has_unreleased_claim)
         self.advance(SETTINGS.bounds.turn_ms + lease.MARGIN_MS)
         anyio.run(restarted.release)
         self.assertTrue(self.claim(self.second))
 
     def test_claim_of_the_next_holder_is_not_released(self):
         self.claim(self.first)
-        anyio.run(self.second.look)
-        self.advance(self.second._wait_ms)
+        anyio.run(self.second.refresh)
+        self.advance(self.second._takeover_wait_ms)
         self.assertTrue(self.claim(self.second))
         anyio.run(self.first.release)
         self.assertFalse(self.claim(self.first))
@@ -200,4 +200,4 @@
             if line["sentence"].startswith("waits")
         ]
         self.assertEqual(waits[-1]["token"], self.first.token)
-        self.assertEqual(waits[-1]["left_ms"], self.second._wait_ms)
+        self.assertEqual(waits[-1]["left_ms"], self.second._takeover_wait_ms)
--- a/tests/gateway/test_lease_holders.py
+++ b/tests/gateway/test_lease_holders.py
@@ -119,7 +119,7 @@
     def restart(self, number):
         """End the process of an instance; the next one looks at its start."""
         self.leases[number] = self.started(number)
-        self.call(self.leases[number].look)
+        self.call(self.leases[number].refresh)
 
     def claim_and_order(self, number, answer, pause, slept):
         """Claim, pause, and order the engine if the lease is still held."""
@@ -138,7 +138,7 @@
         """Order the engine if the lease is held."""
         claimant = self.leases[number]
         if claimant.is_held():
-            claimant.note_order()
+            claimant.record_order()
             self.orders.append((self.now, number))
 
     def shortest_turn_ms(self):
@@ -200,7 +200,7 @@
         self.assertTrue(holders.call(holders.leases[number].claim))
         survivor = (number + 1) % INSTANCES
         holders.restart(survivor)
-        holders.pass_time(holders.leases[survivor]._wait_ms)
+        holders.pass_time(holders.leases[survivor]._takeover_wait_ms)
         self.assertTrue(holders.call(holders.leases[survivor].claim))
 
 
--- a/tests/gateway/test_stage_manager.py
+++ b/tests/gateway/test_stage_manager.py
@@ -29,27 +29,27 @@
     """A lease that is always held."""
 
     token = 1
-    is_standing = True
+    has_unreleased_claim = True
 
     def is_held(self):
         """Tell that it is held."""
         return True
 
-    def note_order(self):
+    def record_order(self):
         """Note nothing."""
 
-    async def look(self):
+    async def refresh(self):
         """See nothing."""
 
     async def release(self):
         """Release nothing."""
 
 
-class Keeper(unittest.TestCase):
-    """The stage keeper of one gateway, alone with some engines."""
+class StageManagerTest(unittest.TestCase):
+    """The stage manager of one gateway, alone with some engines."""
 
     def setUp(self):
-        """Make a keeper that knows no engine yet."""
+        """Make a manager that knows no engine yet."""
         self.clock = clock.ManualClock(100_000)
         self.beliefs = types.SimpleNamespace(
             configuration=types.SimpleNamespace(
@@ -62,7 +62,7 @@
             tell=lambda: None,
             table=types.SimpleNamespace(states=list),
         )
-        self.keeper = stage_manager.StageManager(
+        self.manager = stage_manager.StageManager(
             SETTINGS,
             self.beliefs,
             endpoints.Endpoints(self.beliefs, self.clock.now),
@@ -70,8 +70,8 @@
             lambda: True,
             self.clock,
         )
-        self.keeper._lease = FakeLease()
-        self.keeper._ask = self.answer
+        self.manager._lease = FakeLease()
+        self.manager._send_request = self.answer
         # What asking for a report and ordering do, by engine.
         self.report_by_id = {}
         self.order_by_id = {}
@@ -98,11 +98,11 @@
             return messages.Head(200, b"OK", ()), json.dumps(answer).encode()
         return messages.Head(answer, b"", ()), b""
 
-    def look_for(self, ms):
-        """Let the keeper look as often as it does in so many ms."""
-        for _ in range(ms // stage_manager.LOOK_MS):
-            self.clock.advance(stage_manager.LOOK_MS)
-            anyio.run(self.keeper.look)
+    def poll_for(self, ms):
+        """Let the manager look as often as it does in so many ms."""
+        for _ in range(ms // stage_manager.POLL_INTERVAL_MS):
+            self.clock.advance(stage_manager.POLL_INTERVAL_MS)
+            anyio.run(self.manager.poll)
 
     def test_an_engine_that_refuses_connections_delays_no_other_order(self):
         for failure in (REFUSED, DARK, TimeoutError()):
@@ -110,46 +110,46 @@
                 self.setUp()
                 self.engine("a", domain.PREFILL, failure)
                 self.engine("b", domain.PREFILL)
-                self.look_for(1_000)
+                self.poll_for(1_000)
                 self.assertEqual(self.ordered, ["b"])
 
     def test_an_order_that_never_connected_delays_no_other_order(self):
         self.engine("a", domain.PREFILL, order=REFUSED)
         self.engine("b", domain.PREFILL)
-        self.look_for(1_000)
+        self.poll_for(1_000)
         self.assertEqual(self.ordered, ["a", "b"])
 
     def test_an_unanswered_order_delays_no_other_while_none_decodes(self):
         self.engine("a", domain.PREFILL, order=RESET)
         self.engine("b", domain.PREFILL)
-        self.look_for(1_000)
+        self.poll_for(1_000)
         self.assertEqual(self.ordered, ["a", "b"])
 
     def test_an_unanswered_order_delays_others_while_some_engine_decodes(self):
         for name in "abc":
             self.engine(name, domain.DECODE, order=RESET)
-        self.look_for(4_000)
+        self.poll_for(4_000)
         self.assertEqual(self.ordered, ["a"])
 
     def test_an_engine_on_its_way_to_decode_gets_no_company(self):
         self.engine("a", domain.PREFILL)
         self.engine("b", domain.PREFILL)
-        self.look_for(4_000)
+        self.poll_for(4_000)
         self.assertEqual(self.ordered, ["a"])
 
     def test_an_engine_that_could_not_be_asked_is_tried_again(self):
         self.engine("a", domain.PREFILL, DARK)
-        self.look_for(1_000)
+        self.poll_for(1_000)
         self.report_by_id["a"] = {"sequence": 0}
-        self.look_for(2 * stage_manager.UNREACHABLE_MS)
+        self.poll_for(2 * stage_manager.UNREACHABLE_COOLDOWN_MS)
         self.assertEqual(self.ordered, ["a"])
 
     def test_an_order_that_is_carried_out_is_not_given_again(self):
         # The gateway that gave it has ended, and the record is an old one.
         self.engine("a", domain.PREFILL, {"sequence": 1, "busy": True})
         self.engine("b", domain.PREFILL)
-        self.look_for(2_000)
+        self.poll_for(2_000)
         self.assertEqual(self.ordered, [])
         self.report_by_id["a"] = {"sequence": 1, "busy": False}
-        self.look_for(1_000)
+        self.poll_for(1_000)
         self.assertEqual(self.ordered, ["a"])
--- a/tests/gateway/test_topic_followers.py
+++ b/tests/gateway/test_topic_followers.py
@@ -33,12 +33,12 @@
 STATES = ("ready", "ready", "draining", None, "odd")
 
 
-class _Log:
+class _Topic:
     """A topic that all gateways read."""
 
     def __init__(self):
         self.records = []
-        self.pages_late = 0
+        self.pages_after_end = 0
 
     def write(self, key, state, born=1):
         """Append what an endpoint says, or remove it."""
@@ -59,7 +59,7 @@
         """Return the newest records; some pages are read after the end."""
         by_key = {record.key: record for record in self.records}
         rows = [r for r in by_key.values() if r.value is not None]
-        end = max(0, len(self.records) - self.pages_late)
+        end = max(0, len(self.records) - self.pages_after_end)
         return store.Batch(tuple(rows), end)
 
     async def read(self, _topic, start, _wait_ms=0):
@@ -71,7 +71,7 @@
     """Keeps what a gateway would tell the others."""
 
     def __init__(self):
-        self.told = []
+        self.sent = []
 
     def on_news(self, _topic, _take):
         """Nobody listens here; tests hand news on."""
@@ -79,7 +79,7 @@
     def tell_news(self, news):
         """Keep the news as it would arrive."""
         raw = json.dumps(news_module.encode(news))
-        self.told.append(news_module.decode(json.loads(raw)))
+        self.sent.append(news_module.decode(json.loads(raw)))
 
     def place_in_line(self):
         """Return the first place."""
@@ -96,7 +96,7 @@
         )
         self.follower._store = log
         self.peers = _Peers()
-        self.follower.share(self.peers)
+        self.follower.share_updates(self.peers)
 
     def step(self):
         """Read once."""
@@ -108,12 +108,12 @@
         return dict(self.beliefs.endpoint_by_id)
 
 
-class News(unittest.TestCase):
+class UpdateSharing(unittest.TestCase):
     """A reader and a listener that gets some of its datagrams."""
 
     def setUp(self):
         self.clock = clock.ManualClock()
-        self.log = _Log()
+        self.log = _Topic()
 
     def pair(self):
         """Return two gateways that have read what there is."""
@@ -141,32 +141,32 @@
     )
     @hypothesis.settings(derandomize=True, max_examples=500, deadline=None)
     def test_the_listener_believes_what_the_reader_does(
-        self, rounds, pages_late, first, second
+        self, rounds, pages_after_end, first, second
     ):
         # Heartbeats are not told, datagrams get lost, records lapse in
         # outages, and pages of the newest records may be newer than the end
         # that they name.  A listener that missed a record would send work
         # to an engine that left long ago, or drop one that lives.
-        self.log = _Log()
+        self.log = _Topic()
         self.write_all(first)
         listener = _Gateway(self.log, self.clock.now)
         listener.step()
         self.write_all(second)
-        self.log.pages_late = min(pages_late, len(second))
+        self.log.pages_after_end = min(pages_after_end, len(second))
         reader = _Gateway(self.log, self.clock.now)
         reader.step()
         for writes, fate, away_ms in rounds:
             if away_ms:
-                reader.follower._failed(errors.LogUnavailable("down"))
+                reader.follower._record_failure(errors.LogUnavailable("down"))
                 self.clock.advance(away_ms)
             self.write_all(writes)
             reader.step()
             if fate == "told":
-                listener.follower.take_news(reader.peers.told[-1])
+                listener.follower.apply_update(reader.peers.sent[-1])
             if fate == "read":
                 listener.step()
         reader.step()
-        listener.follower.take_news(reader.peers.told[-1])
+        listener.follower.apply_update(reader.peers.sent[-1])
         if listener.follower._next != len(self.log.records):
             listener.step()
         self.clock.advance(beliefs.LAPSE_GRACE_MS)
@@ -188,7 +188,7 @@
         listener.step()
         self.log.write("e1", "ready", born=2)
         reader.step()
-        listener.follower.take_news(reader.peers.told[-1])
+        listener.follower.apply_update(reader.peers.sent[-1])
         self.assertFalse(listener.known["e1"].leaving)
         self.assertEqual(listener.known, reader.known)
 
@@ -203,7 +203,7 @@
         for _ in range(5):
             self.log.write("e1", "ready")
             reader.step()
-        self.assertEqual(reader.peers.told[-1].records, ())
+        self.assertEqual(reader.peers.sent[-1].records, ())
 
     def test_one_lost_message_is_made_up_for(self):
         self.log.write("e1", "ready")
@@ -211,7 +211,7 @@
         self.log.write("e1", "draining")
         reader.step()
         reader.step()
-        listener.follower.take_news(reader.peers.told[-1])
+        listener.follower.apply_update(reader.peers.sent[-1])
         self.assertTrue(listener.known["e1"].leaving)
 
     def test_a_gap_is_read_and_not_guessed(self):
@@ -222,10 +222,10 @@
         for _ in range(news_module.COVERED + 1):
             self.log.write("e2", "ready")
             reader.step()
-        listener.follower.take_news(reader.peers.told[-1])
+        listener.follower.apply_update(reader.peers.sent[-1])
         self.assertFalse(listener.known["e1"].leaving)
         self.assertLessEqual(
-            listener.follower._known_at + listener.follower._patience_ms(),
+            listener.follower._synced_at + listener.follower._max_age_ms(),
             self.clock.now(),
         )
         listener.step()
@@ -283,11 +283,11 @@
         # refuses all work until they are back.
         self.log.write("e1", "ready")
         reader, listener = self.pair()
-        reader.follower._failed(errors.LogUnavailable("down"))
+        reader.follower._record_failure(errors.LogUnavailable("down"))
         self.clock.advance(5_000)
         self.log.write("e1", None)
         reader.step()
-        listener.follower.take_news(reader.peers.told[-1])
+        listener.follower.apply_update(reader.peers.sent[-1])
         self.assertIn("e1", listener.known)
         self.clock.advance(beliefs.LAPSE_GRACE_MS)
         listener.beliefs.expire()
@@ -299,11 +299,11 @@
         # once and gets no two seconds more of work.
         self.log.write("e1", "ready")
         reader, cut_off = self.pair()
-        cut_off.follower._failed(errors.LogUnavailable("busy"))
+        cut_off.follower._record_failure(errors.LogUnavailable("busy"))
         for _ in range(20):
             self.clock.advance(400)
             reader.step()
-            cut_off.follower.take_news(reader.peers.told[-1])
+            cut_off.follower.apply_update(reader.peers.sent[-1])
         self.log.write("e1", None)
         cut_off.step()
         self.assertNotIn("e1", cut_off.known)
--- a/tests/integration/test_gateway_peers.py
+++ b/tests/integration/test_gateway_peers.py
@@ -97,7 +97,9 @@
         self.endpoint("one", lambda _e, request: [scripted.answer(request)])
         fronts = self.both()
         bringup.wait_until(
-            lambda: self.dep.log_of("gateway-2").count("told by another") >= 2,
+            lambda: (
+                self.dep.log_of("gateway-2").count("updated by another") >= 2
+            ),
             what="a listener of both topics",
         )
         routes = [route("look", "app", "safe"), route("new", "app", "safe")]
