--- a/clementinewall/gateway/caches.py
+++ b/clementinewall/gateway/caches.py
@@ -86,7 +86,7 @@
         cursor_by_life = {}
         followers = self._followers()
         for state in self._engines():
-            life = state.endpoint.life
+            life = state.endpoint.incarnation_key
             cursor = self._cursor_by_life.get(life) or _Cursor()
             cursor_by_life[life] = cursor
             if cursor.is_asking or self._now() < cursor.due_at:
@@ -168,7 +168,7 @@
         self._endpoints.follow_cache(state, changes.parts)
 
     async def _body(self, state, request):
-        head, body = await state.pool.ask(request, sending.ANSWER_LIMIT)
+        head, body = await state.pool.ask(request, sending.MAX_ANSWER_BYTES)
         metrics.count("cache_calls", status=head.status)
         if head.status in NOT_OFFERED:
             raise _NotOffered(f"answered with {head.status}")
--- a/clementinewall/gateway/guard.py
+++ b/clementinewall/gateway/guard.py
@@ -26,7 +26,7 @@
 
     def __init__(self, now):
         """Begin without marks."""
-        self._table = crashes.Crashes(now)
+        self._table = crashes.CrashTable(now)
 
     def check(self, call):
         """Refuse a request that crashed two endpoints.
@@ -48,7 +48,7 @@
             return
         if failure.verdict is not verdicts.Verdict.MAY_HAVE_RUN:
             return
-        life = f"{state.endpoint.id}/{state.endpoint.born}"
+        life = f"{state.endpoint.id}/{state.endpoint.incarnation}"
         digest = _digest(call)
         if self._table.add(digest, life, strong=before_first):
             _log.info(
--- a/clementinewall/gateway/lease.py
+++ b/clementinewall/gateway/lease.py
@@ -60,8 +60,8 @@
         self._clock = ticker
         self._holder = settings.ip
         self._boot_id = secrets.token_hex(BOOT_ID_BYTES)
-        self._turn_ms = settings.bounds.turn_ms
-        self._takeover_wait_ms = LEASE_MS + self._turn_ms + MARGIN_MS
+        self._order_interval_ms = settings.bounds.order_interval_ms
+        self._takeover_wait_ms = LEASE_MS + self._order_interval_ms + MARGIN_MS
         self._latest_claim = None
         self._held = None
         self._logged_wait_for = None
@@ -149,7 +149,7 @@
         """Tell whether an order of the next holder can't be too close."""
         if self._last_order_at is None:
             return True
-        apart_ms = self._turn_ms + MARGIN_MS
+        apart_ms = self._order_interval_ms + MARGIN_MS
         return self._clock.now_with_suspend() >= self._last_order_at + apart_ms
 
     def _record_claim(self, record):
--- a/clementinewall/gateway/placing.py
+++ b/clementinewall/gateway/placing.py
@@ -10,7 +10,7 @@
 from clementinewall import logs
 from clementinewall import metrics
 from clementinewall.policy import placement
-from clementinewall.policy import reading_queue
+from clementinewall.policy import prefill_queue
 
 _log = logs.PartLog("stream")
 
@@ -30,16 +30,16 @@
 
     ``source`` is an engine from which the beginning of the prompt is fetched,
     ``run_urgency`` the urgency at the engine that runs the request, and
-    ``reading_scale`` what the predicted reading was multiplied by.
+    ``prefill_scale`` what the predicted reading was multiplied by.
     """
 
     reader: endpoints_module.State | None
     decoder: endpoints_module.State
-    way: placement.Way
+    way: placement.Option
     urgency: int
     source: endpoints_module.State | None = None
-    run_urgency: int = placement.PATIENT
-    reading_scale: float = 1.0
+    run_urgency: int = placement.URGENCY_NORMAL
+    prefill_scale: float = 1.0
 
     @property
     def shows_speed(self):
@@ -50,7 +50,7 @@
     @property
     def unscaled_ms(self):
         """Return how long the reading takes by the prediction alone."""
-        return self.way.prompt_ms / self.reading_scale
+        return self.way.prompt_ms / self.prefill_scale
 
 
 class Placer:
@@ -80,7 +80,7 @@
         states = {
             state.endpoint.id: state
             for state in self._candidates(engines)
-            if state.endpoint.id not in exchange.tried
+            if state.endpoint.id not in exchange.tried_ids
         }
         prompt = exchange.call.prompt or NO_PROMPT
         cached = max(
@@ -90,7 +90,7 @@
             ),
             default=0,
         )
-        urgency = placement.urgency(demand, cached)
+        urgency = placement.prefill_urgency(demand, cached)
         known = [
             self._engine(state, prompt, urgency, peers)
             for state in states.values()
@@ -117,7 +117,7 @@
             tokens=demand.tokens,
             tokens_out=demand.tokens_out,
             left_ms=round(demand.left_ms),
-            scale=round(demand.reading_scale, 2),
+            scale=round(demand.prefill_scale, 2),
         )
         reader = states.get(chosen.prefill)
         source = chosen.fetch and self._endpoints.find(chosen.fetch)
@@ -128,8 +128,8 @@
             chosen,
             urgency,
             source,
-            placement.run_urgency(decoder, urgency),
-            demand.reading_scale,
+            placement.decode_urgency(decoder, urgency),
+            demand.prefill_scale,
         )
 
     def _candidates(self, engines):
@@ -163,7 +163,7 @@
         state = self._endpoints.find(keeper.endpoint_id)
         if state is None or not state.is_usable():
             return None
-        return placement.Source(keeper.endpoint_id, keeper.tokens)
+        return placement.CacheHolder(keeper.endpoint_id, keeper.tokens)
 
     def _demand(self, exchange, peers):
         prompt = exchange.call.prompt or NO_PROMPT
@@ -177,7 +177,7 @@
             tokens_out=prompt.tokens_out,
             send_ms=self._send_ms(exchange.call.body),
             is_probe=self._may_probe(),
-            reading_scale=self._endpoints.scales.scale(
+            prefill_scale=self._endpoints.scales.scale(
                 exchange.service.name,
                 [peer.estimate_by_service for peer in peers],
             ),
@@ -191,8 +191,8 @@
 
     def _note_probe(self, known, chosen):
         """Note if a request tries an engine that is gone."""
-        gone = {engine.id for engine in known if engine.gone}
-        if isinstance(chosen, placement.Way) and chosen.decode in gone:
+        gone = {engine.id for engine in known if engine.unreachable}
+        if isinstance(chosen, placement.Option) and chosen.decode in gone:
             self._probed_at = self._now()
 
     def _send_ms(self, body):
@@ -212,7 +212,7 @@
                 jobs.extend(work.jobs)
                 streams += work.streams
                 last_end = max(last_end, work.last_end)
-        waiting = reading_queue.wait_ms(jobs, last_end, self._now(), urgency)
+        waiting = prefill_queue.wait_ms(jobs, last_end, self._now(), urgency)
         return placement.Engine(
             id=endpoint.id,
             prefill=endpoint.stage == domain.PREFILL,
@@ -223,7 +223,7 @@
             slowness=state.health.slowness
             if state.is_usable()
             else UNUSABLE_SLOWNESS,
-            gone=state.is_gone(),
+            unreachable=state.is_gone(),
         )
 
     def _refuse(self, exchange, demand, refusal, last):
--- a/clementinewall/gateway/topic_followers.py
+++ b/clementinewall/gateway/topic_followers.py
@@ -1,10 +1,10 @@
 """Tasks that follow topics of the platform's store.
 
-One task with its own connection follows each topic: it reads the newest
-record of each key, then the records after them, and applies them to the
-gateway's fleet view.  A gateway sends what it reads to its peers, so that not
-every gateway has to read.  While the store is unavailable, the gateway serves
-with the last known state.
+One task with its own connection follows each topic: it reads the newest record
+of each key, then the records after them, and applies them to the gateway's
+fleet view.  A gateway sends what it reads to its peers, so that not every
+gateway has to read (see :mod:`clementinewall.policy.store_polling`).  While the
+store is unavailable, the gateway serves with the last known state.
 """
 
 import anyio
@@ -16,7 +16,7 @@
 from clementinewall import metrics
 from clementinewall.platform import records
 from clementinewall.platform import store
-from clementinewall.policy import reading_turns
+from clementinewall.policy import store_polling
 
 _log = logs.PartLog("follow")
 
@@ -46,7 +46,7 @@
         topic,
         apply_snapshot,
         apply_record,
-        pace,
+        cycle,
         newest_first=False,
     ):
         """Apply what is read with the two callbacks.
@@ -61,7 +61,7 @@
         self._topic = topic
         self._apply_snapshot = apply_snapshot
         self._apply_record = apply_record
-        self._pace = pace
+        self._cycle = cycle
         self._next = None
         self._synced_at = None
         self._failing_since = None
@@ -108,13 +108,13 @@
         return self._peers.place_in_line() if self._peers else 0
 
     def _max_age_ms(self):
-        return reading_turns.patience_ms(self._pace, self._queue_position())
+        return store_polling.max_age_ms(self._cycle, self._queue_position())
 
     def _retry_ms(self):
         if self._next is None:
             # Updates from peers build on a snapshot, which is missing here.
-            return reading_turns.RETRY_MS
-        return reading_turns.retry_ms(self._pace, self._queue_position())
+            return store_polling.RETRY_MS
+        return store_polling.retry_ms(self._cycle, self._queue_position())
 
     async def _step(self):
         metrics.count("store_calls", topic=self._topic)
@@ -126,7 +126,7 @@
             self._next = batch.end
             return
         batch = await self._store.read(
-            self._topic, self._next, self._pace.wait_ms
+            self._topic, self._next, self._cycle.wait_ms
         )
         away_ms = self._record_success()
         # A peer's update may have been applied while the read waited.
@@ -166,7 +166,7 @@
 
     def _make_due(self):
         """Make a read due now, as an update left out some records."""
-        self._synced_at = self._now() - self._pace.cycle_ms * 2
+        self._synced_at = self._now() - self._cycle.cycle_ms * 2
         self._update_received.set()
 
     def _record_failure(self, exc):
@@ -217,7 +217,7 @@
         records.CONFIGURATION_TOPIC,
         apply_snapshot,
         apply_record,
-        reading_turns.Pace(
+        store_polling.PollCycle(
             int(
                 settings.bounds.configuration_ms * CONFIGURATION_WAIT_FRACTION
             ),
@@ -236,8 +236,8 @@
         records.ENDPOINTS_TOPIC,
         beliefs.take_whole_fleet,
         beliefs.take_endpoint,
-        reading_turns.Pace(
-            0, int(settings.bounds.leaving_ms * FLEET_GAP_FRACTION)
+        store_polling.PollCycle(
+            0, int(settings.bounds.draining_ms * FLEET_GAP_FRACTION)
         ),
     )
     follower.on_store_recovered = beliefs.store_returned
@@ -262,5 +262,5 @@
         records.GATEWAYS_TOPIC,
         apply_snapshot,
         apply_record,
-        reading_turns.Pace(0, PEERS_GAP_MS),
+        store_polling.PollCycle(0, PEERS_GAP_MS),
     )
--- a/clementinewall/lab/simulation.py
+++ b/clementinewall/lab/simulation.py
@@ -204,8 +204,8 @@
             return
         wait = exc.retry_after_ms
         if wait is None:
-            wait = exchanges.RETRY_MS
-        wait = min(wait, left * exchanges.RETRY_PART)
+            wait = exchanges.RETRY_AFTER_MS
+        wait = min(wait, left * exchanges.RETRY_AFTER_FRACTION)
         self._sim.loop.after(wait, self.arrive)
 
     def _first(self, predicted_ms):
@@ -269,7 +269,7 @@
     def _was_read(self):
         self._end_reading(self._plan.reader)
         if self._plan.shows_speed:
-            self._gateway.endpoints.scales.note(
+            self._gateway.endpoints.scales.record(
                 SERVICE,
                 self._sim.loop.now - self._began - self._sim.answer_ms,
                 self._plan.unscaled_ms,
--- a/tests/gateway/test_lease_holders.py
+++ b/tests/gateway/test_lease_holders.py
@@ -141,7 +141,7 @@
             claimant.record_order()
             self.orders.append((self.now, number))
 
-    def shortest_turn_ms(self):
+    def shortest_order_interval_ms(self):
         """Return the shortest time between orders of two instances."""
         pairs = zip(self.orders, self.orders[1:], strict=False)
         return min(
@@ -150,7 +150,7 @@
                 for (before, first), (after, second) in pairs
                 if first != second
             ),
-            default=SETTINGS.bounds.turn_ms,
+            default=SETTINGS.bounds.order_interval_ms,
         )
 
 
@@ -184,7 +184,8 @@
             action(holders, *values)
             holders.store.carry_out_late()
         self.assertGreaterEqual(
-            holders.shortest_turn_ms(), SETTINGS.bounds.turn_ms
+            holders.shortest_order_interval_ms(),
+            SETTINGS.bounds.order_interval_ms,
         )
 
     @hypothesis.settings(max_examples=200, deadline=None, derandomize=True)
