--- a/clementinewall/gateway/topic_followers.py
+++ b/clementinewall/gateway/topic_followers.py
@@ -3,8 +3,8 @@
 One task with its own connection follows each topic: it reads the newest record
 of each key, then the records after them, and applies them to the gateway's
 fleet view.  A gateway sends what it reads to its peers, so that not every
-gateway has to read (see :mod:`clementinewall.policy.store_polling`).  While the
-store is unavailable, the gateway serves with the last known state.
+gateway has to read (see :mod:`clementinewall.policy.store_polling`).  While
+the store is unavailable, the gateway serves with the last known state.
 """
 
 import anyio
