--- a/clementinewall/gateway/cooldowns.py
+++ b/clementinewall/gateway/cooldowns.py
@@ -1,4 +1,4 @@
-"""Engines that are left alone for a while after an order, and why."""
+"""Cooldowns: spans in which an engine gets no order, with their causes."""
 
 import enum
 import typing
@@ -7,20 +7,20 @@
 
 
 class Cause(enum.Enum):
-    """Why an engine is left alone."""
+    """Why an engine is in a cooldown."""
 
-    # The engine accepted or refused an order, or carries out another one.
+    # The engine accepted or refused an order, or is executing another one.
     SETTLING = "settling"
-    # Whether an order arrived isn't known; it may be carried out late.
+    # It is unknown whether an order arrived; it may be executed late.
     UNANSWERED = "unanswered"
-    # Nothing was ordered, since the engine couldn't be asked.
+    # No order was sent, since the engine couldn't be reached.
     UNREACHABLE = "unreachable"
 
 
 class Cooldown(typing.NamedTuple):
-    """That an engine gets no order until ``until``.
+    """A span, up to ``until``, in which an engine gets no order.
 
-    ``stage`` is the one that it changes to, if it accepted an order.
+    ``stage`` is the one that the engine changes to, if it accepted an order.
     """
 
     cause: Cause
@@ -29,21 +29,21 @@
 
 
 class Cooldowns:
-    """The engines that one gateway leaves alone, by id."""
+    """The cooldowns of one gateway, by engine id."""
 
     def __init__(self, now):
-        """Begin with none; ``now`` returns the time in ms."""
+        """Start without cooldowns; ``now`` returns the time in ms."""
         self._now = now
         self._cooldown_by_id = {}
 
     def start(self, engine_id, cause, ms, stage=None):
-        """Leave an engine alone for ``ms``."""
+        """Send an engine no order for ``ms``, which replaces its cooldown."""
         self._cooldown_by_id[engine_id] = Cooldown(
             cause, self._now() + ms, stage
         )
 
     def active(self, engine_id):
-        """Return why an engine is left alone now, or ``None``."""
+        """Return the current :class:`Cooldown` of an engine, or ``None``."""
         cooldown = self._cooldown_by_id.get(engine_id)
         if cooldown is not None and cooldown.until <= self._now():
             del self._cooldown_by_id[engine_id]
@@ -51,13 +51,13 @@
         return cooldown
 
     def remaining_ms(self, engine_id):
-        """Return for how long an engine is still left alone."""
+        """Return the ms until an engine's cooldown ends, or 0."""
         cooldown = self.active(engine_id)
         return 0 if cooldown is None else cooldown.until - self._now()
 
     @property
     def has_pending_order(self):
-        """Tell whether any order may still have its effect."""
+        """Return whether any order may still take effect."""
         cooldowns = [self.active(name) for name in list(self._cooldown_by_id)]
         return any(
             cooldown is not None and cooldown.cause is not Cause.UNREACHABLE
--- a/clementinewall/gateway/info_server.py
+++ b/clementinewall/gateway/info_server.py
@@ -1,7 +1,7 @@
-"""What the platform and callers ask beside their requests.
+"""HTTP listeners for readiness, the directory of gateways, and metrics.
 
-Whether this gateway is ready, which gateways to connect to, and its metrics:
-questions with short answers, each on a listener of its own.
+The platform and callers ask whether this gateway is ready, which gateways to
+connect to, and for its metrics.  Each of these has its own listener.
 """
 
 import random
@@ -15,53 +15,53 @@
 
 _log = logs.PartLog("ports")
 
-# How long callers keep the addresses that they were told.  Short, so that a
-# gateway that died is not tried for long.
+# How long callers may cache the addresses of gateways.  Short, so that they
+# soon stop trying a gateway that has crashed.
 ADDRESSES_TTL_MS = 2_000
 
 
 class InfoHandlers:
-    """Answers the questions; ``is_ready`` tells whether callers may come."""
+    """Handlers; ``is_ready`` returns whether the gateway takes callers."""
 
     def __init__(self, settings, peers, is_ready):
-        """Answer from what the peers told."""
+        """Answer from the state that peers announced."""
         self._settings = settings
         self._peers = peers
         self._is_ready = is_ready
 
     def handlers(self):
-        """Return pairs of an address and what answers there."""
+        """Return pairs of an address to listen on and its handler."""
         settings = self._settings
         rows = [
-            (settings.ready, self._on_ready),
-            (settings.directory, self._on_directory),
+            (settings.ready, self._handle_ready),
+            (settings.directory, self._handle_directory),
         ]
         if settings.metrics_port is not None:
-            where = f"{settings.ip}:{settings.metrics_port}"
-            rows.append((where, _on_metrics))
+            address = f"{settings.ip}:{settings.metrics_port}"
+            rows.append((address, _handle_metrics))
         return rows
 
-    def _on_ready(self, request):
+    def _handle_ready(self, request):
         if request.target.split(b"?")[0] != addresses.READY_PATH:
-            return _empty(404, b"Not Found")
+            return _empty_response(404, b"Not Found")
         if self._is_ready():
-            return _empty(200, b"OK")
-        return _empty(503, b"Service Unavailable")
+            return _empty_response(200, b"OK")
+        return _empty_response(503, b"Service Unavailable")
 
-    def _on_directory(self, request):
+    def _handle_directory(self, request):
         if request.target.split(b"?")[0] != addresses.PATH:
-            return _empty(404, b"Not Found")
-        near = addresses.asked_data_centre(request.target)
+            return _empty_response(404, b"Not Found")
+        requested = addresses.asked_data_centre(request.target)
         rows = [
-            (peer.data_centre != near, random.random(), peer.callers)
+            (peer.data_centre != requested, random.random(), peer.callers)
             for peer in self._peers.table.live()
             if peer.ready
         ]
         if self._is_ready():
-            own = self._settings.data_centre != near
+            own = self._settings.data_centre != requested
             rows.append((own, random.random(), self._settings.callers))
         if not rows:
-            return _empty(503, b"Service Unavailable")
+            return _empty_response(503, b"Service Unavailable")
         body = addresses.answer(
             [row[2] for row in sorted(rows)], self._ttl_ms()
         )
@@ -75,14 +75,14 @@
 
 
 async def serve(address, handle, group):
-    """Answer the questions that come to an address; return the listener."""
+    """Answer requests that arrive at an address; return the listener."""
 
     async def serve_one(stream):
         connection = server.Connection(stream, server.Limits())
         try:
             await _answer_all(connection, handle)
         except (server.Refused, server.CallerGone) as exc:
-            _log.debug("question not answered", why=str(exc))
+            _log.debug("request not answered", why=str(exc))
         finally:
             connection.close()
 
@@ -98,10 +98,10 @@
         request = await connection.read_request()
 
 
-def _on_metrics(_request):
+def _handle_metrics(_request):
     head = messages.Head(200, b"OK", ((b"Content-Type", b"text/plain"),))
     return head, metrics.render().encode()
 
 
-def _empty(status, reason):
+def _empty_response(status, reason):
     return messages.Head(status, reason, ()), b""
--- a/clementinewall/gateway/lease.py
+++ b/clementinewall/gateway/lease.py
@@ -1,17 +1,17 @@
-"""The lease that one instance holds while its gateway orders engines.
+"""The lease that an instance holds while its gateway orders engines.
 
 A claim is a record in the platform's store, appended only if nothing was
 appended since the claimant read the topic.  Its offset is the fencing token.
-Engines here may ignore tokens, so time has to keep two holders apart as
+Engines may ignore fencing tokens, so time has to separate two holders as
 well: a holder counts its lease from before it sent the claim, and releases it
-in the store once its last order can't meet one of the next holder any more.
-A holder that was paused notices by a clock that counts suspension too.
-
-A claim that isn't released was made by a process that is at work, or that
-ended.  Another instance claims only after it has seen the same claim stand for
-the length of the lease and a span in which no order may come from two
-holders.  The instance itself needn't wait: of its processes only the newest
-lives.
+in the store once its last order can no longer overlap with an order of the
+next holder.  Expiry is checked on a clock that also advances during
+suspension, so a holder that was suspended notices that its lease expired.
+
+An unreleased claim belongs to a process that is running or has ended.
+Another instance claims only after it has seen the same claim unchanged for
+the duration of the lease plus the interval that must separate orders of two
+holders.  The instance itself needn't wait, as only its newest process runs.
 """
 
 import json
@@ -26,16 +26,16 @@
 _log = logs.PartLog("lease")
 
 KEY = "stages"
-# Long enough for the claim's answer, a report and an order.
+# Covers the answer to the claim, a report and an order.
 LEASE_MS = 2_000
-# Beyond the span between two holders' orders that the deployment demands:
-# for an order on its way, and for the drift of two clocks.
+# Added to the interval that the deployment demands between orders of two
+# holders: covers an order in transit and the drift between two clocks.
 MARGIN_MS = 2_000
 BOOT_ID_BYTES = 6
 
 
 class HeldLease(typing.NamedTuple):
-    """A lease: its token, and until when orders may be sent."""
+    """A lease: its fencing token, and until when orders may be sent."""
 
     token: int
     end: clock.Millis
@@ -65,12 +65,12 @@
         self._latest_claim = None
         self._held = None
         self._logged_wait_for = None
-        # The offset of the claim that this instance has to release.
+        # Offset of the claim that this instance has to release.
         self._unreleased_claim = None
         self._last_order_at = None
 
     def is_held(self):
-        """Tell whether orders may be sent at this moment."""
+        """Return whether orders may be sent now."""
         held = self._held
         return held is not None and self._clock.now_with_suspend() < held.end
 
@@ -81,15 +81,15 @@
 
     @property
     def has_unreleased_claim(self):
-        """Tell whether a claim of this instance keeps others waiting."""
+        """Return whether a claim of this instance makes others wait."""
         return self._unreleased_claim is not None
 
     def record_order(self):
-        """Note that an order is sent now, or may still have been."""
+        """Record that an order is sent, or may have been sent, now."""
         self._last_order_at = self._clock.now_with_suspend()
 
     async def refresh(self):
-        """Note which claim stands, so that its age is known when it matters.
+        """Record the newest claim, so that its age is known when needed.
 
         :raises LogUnavailable: the store doesn't answer.
         """
@@ -112,7 +112,9 @@
             records.LEASES_TOPIC, KEY, self._encode(False), at=batch.end
         )
         if offset is None:
-            _log.info("lease claimed by another gateway first", at=batch.end)
+            _log.info(
+                "lease not claimed, another gateway was first", at=batch.end
+            )
             return False
         self._held = HeldLease(offset, started + LEASE_MS)
         self._unreleased_claim = offset
@@ -120,14 +122,14 @@
         return self.is_held()
 
     async def release(self):
-        """Let others claim at once, if no order of this instance forbids it.
+        """Release the claim, unless an order was sent too recently.
 
         :raises LogUnavailable: it isn't known whether it was released.
         """
         if self._unreleased_claim is None or not self._is_release_safe():
             return
-        # A release without an answer may be written later, so no order may
-        # follow it.
+        # A release without an answer may still be written later, so no order
+        # may be sent after it.
         self._held = None
         claim = self._unreleased_claim
         offset = await self._store.append(
@@ -146,14 +148,14 @@
         return json.dumps(value).encode()
 
     def _is_release_safe(self):
-        """Tell whether an order of the next holder can't be too close."""
+        """Return whether the last order is old enough for a new holder."""
         if self._last_order_at is None:
             return True
         apart_ms = self._order_interval_ms + MARGIN_MS
         return self._clock.now_with_suspend() >= self._last_order_at + apart_ms
 
     def _record_claim(self, record):
-        """Note the claim that stands, and since when it is seen."""
+        """Record the newest claim and when it was first seen."""
         if record is None:
             self._latest_claim = None
             return
@@ -165,7 +167,7 @@
         seen = self._decode(record)
         self._latest_claim = seen
         _log.info(
-            "claim seen",
+            "new claim in the store",
             token=seen.offset,
             holder=seen.holder,
             released=seen.is_released,
@@ -174,11 +176,10 @@
         if seen.holder != self._holder or seen.is_released:
             self._unreleased_claim = None
             return
-        # Also a claim whose answer got lost keeps others waiting.
+        # A claim whose answer was lost makes others wait as well.
         self._unreleased_claim = seen.offset
         if seen.boot_id != self._boot_id:
-            # The process before this one may have ordered just before it
-            # ended.
+            # The previous process may have sent an order just before it ended.
             self.record_order()
 
     def _decode(self, record):
@@ -193,7 +194,11 @@
                 now,
             )
         except (ValueError, KeyError, TypeError, AttributeError) as exc:
-            _log.warning("unreadable claim", offset=record.offset, why=exc)
+            _log.warning(
+                "unreadable claim, waiting until it has expired",
+                offset=record.offset,
+                why=exc,
+            )
             return _SeenClaim(record.offset, "", "", False, now)
 
     def _may_claim(self):
@@ -208,7 +213,7 @@
         )
 
     def _log_wait(self):
-        """Log, once for each claim, that it keeps this gateway waiting."""
+        """Log, once for each claim, that this gateway waits for its end."""
         if self._logged_wait_for == self._latest_claim.offset:
             return
         self._logged_wait_for = self._latest_claim.offset
--- a/clementinewall/gateway/main.py
+++ b/clementinewall/gateway/main.py
@@ -26,7 +26,8 @@
     """Catch signals, read the command line, load the program and run it."""
     inbox = signals.catch()
     options = docopt.docopt(__doc__)
-    # Imported only now: a signal that came meanwhile would kill the process.
+    # Imported after signals are caught: the import takes a while, and a signal
+    # that arrives during it would otherwise kill the process.
     startup = importlib.import_module("clementinewall.gateway.startup")
     startup.main(options, inbox)
 
--- a/clementinewall/gateway/program.py
+++ b/clementinewall/gateway/program.py
@@ -1,4 +1,4 @@
-"""The gateway process: its tasks, its listeners and its end."""
+"""The gateway process: its tasks, its listeners and its shutdown."""
 
 import gc
 
@@ -27,21 +27,22 @@
 _log = logs.PartLog("gateway")
 
 SWEEP_MS = 250
-# Of the time between SIGTERM and SIGKILL: up to here new connections are
-# still accepted, since callers kept the address.
-ACCEPT_PART = 0.6
-# What is open is cut so long before SIGKILL, to tell callers and to exit.
-LAST_MS = 400
+# Fraction of the time between SIGTERM and SIGKILL during which new connections
+# are still accepted, since callers have the address cached.
+ACCEPT_FRACTION = 0.6
+# Open requests are aborted this long before SIGKILL, which leaves time to
+# notify their callers and to exit.
+ABORT_BEFORE_KILL_MS = 400
 POLL_MS = 20
-# What is cut is told to its caller in this time.
-CUT_MS = 100
+# Time to notify the callers of requests that are aborted.
+ABORT_NOTICE_MS = 100
 
 
 class Gateway:
-    """All parts of the process."""
+    """All components of the gateway process."""
 
     def __init__(self, life, group, log_writer):
-        """Put the parts together; ``group`` runs the tasks."""
+        """Create the components; ``group`` runs the tasks."""
         self._life = life
         self._log_writer = log_writer
         settings = life.settings
@@ -66,7 +67,7 @@
             self._crash_guard,
             self._cell_membership,
         )
-        # What was earned before the machine was suspended is too old then.
+        # Retry credit earned before the machine was suspended has expired.
         self._budgets = budgets.Budgets(
             settings, self._peers, ticker.now_with_suspend
         )
@@ -121,28 +122,30 @@
         )
 
     def is_ready(self):
-        """Tell whether callers should come here."""
+        """Return whether callers should use this gateway."""
         return self._fleet_view.is_ready and not self._stopping.is_set()
 
     async def run(self):
-        """Serve until SIGTERM; return the event that ended what was open."""
+        """Serve until SIGTERM; return the event that ended the draining."""
         settings = self._settings
         start = self._group.start_soon
         for follower in (
-            topic_followers.configuration_follower(*self._known()),
-            topic_followers.fleet_follower(*self._known()),
+            topic_followers.configuration_follower(
+                *self._follower_arguments()
+            ),
+            topic_followers.fleet_follower(*self._follower_arguments()),
         ):
             follower.share_updates(self._peers)
             start(follower.run)
-        start(self._meet_peers)
+        start(self._join_peers)
         start(self._peers.run)
         start(self._stage_manager.run)
         start(self._cache_sync.run)
         start(self._sweep)
-        front = await tcp.listen(
+        caller_listener = await tcp.listen(
             settings.callers, self._callers.serve, self._group
         )
-        others = [
+        info_listeners = [
             await info_server.serve(address, handle, self._group)
             for address, handle in self._info_handlers.handlers()
         ]
@@ -154,60 +157,65 @@
         )
         self._life.note(lifecycle.Event.STARTED)
         await self._stopping.wait()
-        await self._drain(front, others)
+        await self._drain(caller_listener, info_listeners)
         if self._callers.open_requests:
             return lifecycle.Event.OUT_OF_TIME
         return lifecycle.Event.DRAINED
 
-    async def _meet_peers(self):
-        """Register, then learn who else did.
+    async def _join_peers(self):
+        """Register, then follow the registrations of other gateways.
 
-        In this order, of two gateways that start at once one at least finds
-        the other, who learns of it by its first datagram.
+        In this order, at least one of two gateways that start at the same
+        time finds the other, which learns of it by the first datagram.
         """
         await self._peers.register()
         await topic_followers.peers_follower(
-            self._settings, self._now, self._peers.take, self._met
+            self._settings, self._now, self._peers.take, self._peers_loaded
         ).run()
 
-    def _met(self):
+    def _peers_loaded(self):
         self._peers.table.is_whole = True
 
-    def _known(self):
+    def _follower_arguments(self):
         return self._settings, self._now, self._fleet_view
 
-    async def _drain(self, front, others):
-        """Leave the callers' answers, then end what is open.
+    async def _drain(self, caller_listener, info_listeners):
+        """Stop accepting callers, then end the open requests.
 
-        ``front`` is the callers' listener, ``others`` are those for questions.
+        ``caller_listener`` takes callers; ``info_listeners`` answer readiness,
+        directory and metrics requests.
         """
         grace_ms = self._settings.bounds.grace_ms
         started = self._now_with_suspend()
-        left_ms = max(grace_ms * ACCEPT_PART, grace_ms - LAST_MS)
+        left_ms = max(
+            grace_ms * ACCEPT_FRACTION, grace_ms - ABORT_BEFORE_KILL_MS
+        )
         self._callers.drain(left_ms)
-        # Callers keep the address for a while and come in good faith.
-        await self._until(started + grace_ms * ACCEPT_PART)
-        front.close()
-        _log.info("listener closed", open=self._callers.open_requests)
-        await self._until(
-            started + left_ms + CUT_MS,
+        # Callers with a cached address may still connect for a while.
+        await self._wait_until(started + grace_ms * ACCEPT_FRACTION)
+        caller_listener.close()
+        _log.info(
+            "listener closed, no new connections",
+            open=self._callers.open_requests,
+        )
+        await self._wait_until(
+            started + left_ms + ABORT_NOTICE_MS,
             lambda: not self._callers.is_busy,
         )
-        # A connection that is accepted once the tasks have ended has nobody
-        # to serve it.
-        for listener in others:
+        # A connection accepted after the tasks have ended would not be served.
+        for listener in info_listeners:
             listener.close()
-        # Requests that were read in part, or whole but not looked at yet, get
-        # an answer before their connections end.
+        # Requests that were read partly, or fully but not yet handled, get an
+        # answer before their connections are closed.
         self._callers.stop_reading()
         await anyio.sleep(clock.seconds(POLL_MS))
-        await self._until(
-            self._now_with_suspend() + CUT_MS,
+        await self._wait_until(
+            self._now_with_suspend() + ABORT_NOTICE_MS,
             lambda: not self._callers.is_connected,
         )
         _log.info("stopped", open=self._callers.open_requests)
 
-    async def _until(self, end, is_over=lambda: False):
+    async def _wait_until(self, end, is_over=lambda: False):
         while self._now_with_suspend() < end and not is_over():
             await anyio.sleep(clock.seconds(POLL_MS))
 
@@ -222,7 +230,7 @@
 
 
 async def run(log_writer, life):
-    """Run a gateway until it is stopped; return the event that ends it."""
+    """Run a gateway until it is stopped; return the event that ended it."""
     async with anyio.create_task_group() as group:
         end = await Gateway(life, group, log_writer).run()
         group.cancel_scope.cancel()
--- a/clementinewall/gateway/stage_manager.py
+++ b/clementinewall/gateway/stage_manager.py
@@ -1,9 +1,9 @@
-"""Carrying out changes of stage: one gateway, one engine at a time.
+"""Changes the stages of engines (prefill or decode), one at a time.
 
 The plan comes from :mod:`clementinewall.policy.stages`, the right to order
-from :mod:`clementinewall.gateway.lease`.  Of the gateways that hear one
-another the first by address acts, the next ones only if a change stays
-undone, so that they don't contend for the lease.
+from :mod:`clementinewall.gateway.lease`.  Of the gateways that reach one
+another the first by address acts; the next ones act only if a needed change
+isn't made, so that they don't contend for the lease.
 """
 
 import anyio
@@ -25,37 +25,37 @@
 _log = logs.PartLog("stage")
 
 POLL_INTERVAL_MS = 250
-# So many engines, one of this number, may be away for a change at a time:
-# of six engines a second one away costs more than the change gains.
+# One engine in this number, and at least one, may change at a time: of six
+# engines, a second one out of service costs more than the change gains.
 ENGINES_PER_CONCURRENT_CHANGE = 6
-# So many gateways, the first in line, look so often which claim stands.
+# The first gateways in line read the newest claim at this interval.
 CLAIM_POLLERS = 8
 CLAIM_POLL_INTERVAL_MS = 8_000
 RELEASE_RETRY_MS = 1_000
-# The next gateway in line acts when a change stays undone for so long more, or
-# sooner where it presses: after so many times as it has to last.
+# Each gateway further back in line waits longer for a change to be made by
+# this delay, or by the change's required duration times the factor if less.
 MAX_TAKEOVER_DELAY_MS = 3_000
 TAKEOVER_DELAY_FACTOR = 3
-# An order without an answer may be carried out up to 12 s later.
+# An order without an answer may be executed up to 12 s later.
 UNANSWERED_COOLDOWN_MS = 14_000
-# An engine that couldn't be asked is left out of the plan for so long.
+# How long an engine that couldn't be reached is left out of the plan.
 UNREACHABLE_COOLDOWN_MS = 2_000
-# After an order its effect has to show in the engine's record, which is
-# written about every 1,200 ms; then the next change is planned.
+# The effect of an order has to show in the engine's record, which is written
+# about every 1,200 ms, before the next change is planned.
 SETTLING_COOLDOWN_MS = 1_500
 ORDER_TIMEOUT_MS = 1_000
 ACCEPTED_STATUSES = (200, 202)
-# An engine that is at an order is asked again after so long.
+# An engine that is executing an order is asked again after this time.
 BUSY_COOLDOWN_MS = 500
 
 
 class StageManager:
-    """Watches the stages of all model services and changes them."""
+    """Plans and orders stage changes for all model services."""
 
     def __init__(
         self, settings, fleet_view, endpoints, peers, is_ready, ticker
     ):
-        """Use the gateway's parts; order only while it ``is_ready()``."""
+        """Use the gateway's components; order only while ``is_ready()``."""
         self._is_ready = is_ready
         self._settings = settings
         self._fleet_view = fleet_view
@@ -71,15 +71,15 @@
         self._logged_cooldowns_by_service = {}
 
     async def run(self):
-        """Look and act until cancelled."""
+        """Poll until cancelled."""
         while True:
             await anyio.sleep(clock.seconds(POLL_INTERVAL_MS))
             await self.poll()
 
     async def poll(self):
         """Make the change that is needed, if it is this gateway's turn."""
-        # The lease and the wait for an order's effect would outlive a
-        # gateway that stops.
+        # A stopping gateway would leave a lease, and the wait for the effect
+        # of an order, to the other gateways.
         if not self._is_ready():
             await self._release()
             return
@@ -98,7 +98,7 @@
             await self._act(*found)
 
     async def _release(self):
-        """Give the lease back once the orders given under it had effect."""
+        """Release the lease once the orders sent under it took effect."""
         now = self._clock.now()
         if (
             self._cooldowns.has_pending_order
@@ -109,7 +109,7 @@
             await self._lease.release()
         except errors.LogUnavailable as exc:
             self._next_release_attempt = now + RELEASE_RETRY_MS
-            _log.info("lease not released", why=exc.message)
+            _log.info("lease not released, will retry", why=exc.message)
 
     def _log_wanted(self, service, change):
         _log.info(
@@ -122,9 +122,10 @@
         )
 
     def _action_delay_ms(self, change):
-        """Return how long a change has to be needed before it is made here.
+        """Return the ms for which a change must be needed before it is made.
 
-        Nobody else may claim sooner than the instance whose claim stands.
+        An instance with an unreleased claim doesn't wait for others, as
+        nobody else may claim sooner.
         """
         takeover_delay_ms = min(
             MAX_TAKEOVER_DELAY_MS, TAKEOVER_DELAY_FACTOR * change.lasting_ms
@@ -135,14 +136,15 @@
         return change.lasting_ms + position * takeover_delay_ms
 
     async def _refresh_claim(self):
-        """Keep the claim that stands in sight.
+        """Read the newest claim at intervals, so that its age is known.
 
         A gateway that sees a claim for the first time has to wait until it
-        has surely ended, and nothing is served meanwhile if the last engine
-        that decodes has left together with the holder.
+        has certainly expired.  Nothing is served meanwhile if the last decode
+        engine became unavailable together with the holder.
         """
         now = self._clock.now()
-        # A gateway that starts looks in any place: the claim may be its own.
+        # A starting gateway reads it at any place in line, as the claim may
+        # be its own.
         is_first = not self._next_claim_poll
         if now < self._next_claim_poll:
             return
@@ -152,7 +154,10 @@
         try:
             await self._lease.refresh()
         except errors.LogUnavailable as exc:
-            _log.info("lease not looked at", why=exc.message)
+            _log.info(
+                "newest lease claim not read, trying again at the next poll",
+                why=exc.message,
+            )
 
     def _plan(self):
         """Return a service and the change it needs, or ``None``."""
@@ -174,7 +179,7 @@
         return None
 
     def _is_blocked(self, service, states, change):
-        """Tell whether so many engines are away that no other may be."""
+        """Return whether too many engines are in cooldown for a change."""
         cooldown_by_id = {}
         for state in states:
             cooldown = self._cooldowns.active(state.endpoint.id)
@@ -194,12 +199,12 @@
         return True
 
     def _log_blocked(self, service, names):
-        """Log, once for each set of engines, that no other may be changed."""
+        """Log, once for each set of engines in cooldown, what they block."""
         if self._logged_cooldowns_by_service.get(service.name) == names:
             return
         self._logged_cooldowns_by_service[service.name] = names
         _log.info(
-            "no change while engines are away for one",
+            "stage change postponed, other engines are in cooldown",
             service=service.name,
             left_ms_by_engine={
                 name: self._cooldowns.remaining_ms(name) for name in names
@@ -216,7 +221,7 @@
         stage = state.endpoint.stage
         is_lost = state.is_lost()
         if cooldown is not None:
-            # Its record shows the new stage only when the change is over.
+            # The engine's record shows the new stage only after the change.
             stage = cooldown.stage or stage
             is_lost = cooldown.cause is not cooldowns.Cause.SETTLING
         return stages.Engine(
@@ -231,7 +236,7 @@
         try:
             held = self._lease.is_held() or await self._lease.claim()
         except errors.LogUnavailable as exc:
-            _log.info("lease not claimed", why=exc.message)
+            _log.info("lease not claimed, no order is sent", why=exc.message)
             return
         if not held:
             return
@@ -248,10 +253,12 @@
                 if report.is_busy:
                     self._handle_busy(state, change)
                     return
-                # Asking took time; an order that leaves after the lease could
-                # meet one of the next holder.
+                # The report took time; an order sent after the lease ended
+                # could overlap with one of the next holder.
                 if not self._lease.is_held():
-                    _log.info("lease over before the order", engine=change.id)
+                    _log.info(
+                        "lease expired, no order is sent", engine=change.id
+                    )
                     return
                 is_sent = True
                 self._lease.record_order()
@@ -261,21 +268,26 @@
         else:
             self._handle_response(service, state, change, status)
         if is_sent:
-            # A process that was paused sent it long after it began to.
+            # A process that was paused may have sent it much later.
             self._lease.record_order()
 
     async def _report(self, state):
         head, report = await self._send_request(state, calls.report())
         if head.status != 200:
-            raise errors.BadRecord(f"report with {head.status}")
+            raise errors.BadRecord(
+                f"engine report failed: got status {head.status}, expected 200"
+            )
         return calls.engine_report(report)
 
     def _handle_busy(self, state, change):
-        """Wait for an order that another process has given.
+        """Wait for an order that another process has sent.
 
-        Given again, the same change would begin anew.
+        If the same order were sent again, the change would start over.
         """
-        _log.info("engine is at an order already", engine=change.id)
+        _log.info(
+            "engine is executing another order, will ask again",
+            engine=change.id,
+        )
         self._cooldowns.start(
             state.endpoint.id,
             cooldowns.Cause.SETTLING,
@@ -305,7 +317,7 @@
         return head.status
 
     def _handle_response(self, service, state, change, status):
-        """Leave the engine alone until the order has had its effect."""
+        """Start a cooldown until the order has taken effect."""
         cooldown_ms = SETTLING_COOLDOWN_MS
         if status == 202:
             cooldown_ms += service.engine.switch_ms
@@ -317,7 +329,7 @@
         )
 
     def _handle_failure(self, state, exc, is_sent):
-        """Leave the engine alone, for long only if the order may arrive."""
+        """Start a cooldown, which is long only if the order may arrive."""
         cause, rest_ms = (
             cooldowns.Cause.UNREACHABLE,
             UNREACHABLE_COOLDOWN_MS,
@@ -341,10 +353,10 @@
         )
 
     async def _send_request(self, state, request):
-        """Ask on a connection of its own.
+        """Send a request on a new connection and return the response.
 
-        A kept one may have gone silent, and closing it takes along what
-        wasn't sent: an order that was given up must not arrive later.
+        A pooled connection may be dead.  Closing a connection of its own
+        discards unsent data, so that an abandoned order can't arrive later.
         """
         return await state.pool.ask(
             request, sending.MAX_ANSWER_BYTES, fresh=True
@@ -356,7 +368,7 @@
 
 
 def _is_not_executed(exc):
-    """Tell whether nothing of an order has reached the engine."""
+    """Return whether no part of an order has reached the engine."""
     if not isinstance(exc, client.LinkBroken):
         return False
     return verdicts.verdict_of(exc.progress) is verdicts.Verdict.NOT_RUN
--- a/clementinewall/gateway/startup.py
+++ b/clementinewall/gateway/startup.py
@@ -1,4 +1,4 @@
-"""The start of a gateway: its settings, its log, then its program."""
+"""Starts a gateway: loads its settings, opens its log, runs its program."""
 
 import functools
 
@@ -10,7 +10,7 @@
 
 
 def main(options, inbox):
-    """Read the settings and run, or only check them."""
+    """Read the settings and run the gateway, or only check the settings."""
     read = functools.partial(_read_settings, options)
     settings = lifecycle.load(read)
     if options["--check"]:
@@ -30,6 +30,6 @@
         return settings
     if not text.isdigit() or not 0 < int(text) < 65_536:
         raise errors.SettingsError(
-            f"--metrics-port: found {text!r}, give a port"
+            f"--metrics-port: found {text!r}, give a port from 1 to 65535"
         )
     return settings._replace(metrics_port=int(text))
