--- a/clementinewall/gateway/program.py
+++ b/clementinewall/gateway/program.py
@@ -84,7 +84,7 @@
                 self._cell_membership,
                 now,
             ),
-            self._peers.tell_prompt,
+            self._peers.announce_prompt,
             self._budgets,
             self._crash_guard,
             drain,
@@ -174,7 +174,7 @@
         ).run()
 
     def _peers_loaded(self):
-        self._peers.table.is_whole = True
+        self._peers.table.is_complete = True
 
     def _follower_arguments(self):
         return self._settings, self._now, self._fleet_view
--- a/clementinewall/gateway/stage_manager.py
+++ b/clementinewall/gateway/stage_manager.py
@@ -130,10 +130,10 @@
         takeover_delay_ms = min(
             MAX_TAKEOVER_DELAY_MS, TAKEOVER_DELAY_FACTOR * change.lasting_ms
         )
-        position = self._peers.place_in_line()
+        rank = self._peers.group_rank()
         if self._lease.has_unreleased_claim:
-            position = 0
-        return change.lasting_ms + position * takeover_delay_ms
+            rank = 0
+        return change.lasting_ms + rank * takeover_delay_ms
 
     async def _refresh_claim(self):
         """Read the newest claim at intervals, so that its age is known.
@@ -148,7 +148,7 @@
         is_first = not self._next_claim_poll
         if now < self._next_claim_poll:
             return
-        if not is_first and self._peers.place_in_line() >= CLAIM_POLLERS:
+        if not is_first and self._peers.group_rank() >= CLAIM_POLLERS:
             return
         self._next_claim_poll = now + CLAIM_POLL_INTERVAL_MS
         try:
@@ -213,23 +213,23 @@
 
     def _engine(self, state):
         streams = state.streams + sum(
-            peer.work_by_endpoint[state.endpoint.id].streams
+            peer.work_by_endpoint_id[state.endpoint.id].streams
             for peer in self._peers.table.states()
-            if state.endpoint.id in peer.work_by_endpoint
+            if state.endpoint.id in peer.work_by_endpoint_id
         )
         cooldown = self._cooldowns.active(state.endpoint.id)
         stage = state.endpoint.stage
-        is_lost = state.is_lost()
+        is_unresponsive = state.is_unresponsive()
         if cooldown is not None:
             # The engine's record shows the new stage only after the change.
             stage = cooldown.stage or stage
-            is_lost = cooldown.cause is not cooldowns.Cause.SETTLING
+            is_unresponsive = cooldown.cause is not cooldowns.Cause.SETTLING
         return stages.Engine(
             state.endpoint.id,
             stage == domain.PREFILL,
             streams,
             max(1, state.endpoint.slots),
-            is_lost,
+            is_unresponsive,
         )
 
     async def _act(self, service, change):
@@ -321,8 +321,10 @@
         cooldown_ms = SETTLING_COOLDOWN_MS
         if status == 202:
             cooldown_ms += service.engine.switch_ms
-            state.away_until = self._clock.now() + service.engine.switch_ms
-            self._peers.tell()
+            state.unavailable_until = (
+                self._clock.now() + service.engine.switch_ms
+            )
+            self._peers.notify()
         stage = _stage(change) if status in ACCEPTED_STATUSES else None
         self._cooldowns.start(
             state.endpoint.id, cooldowns.Cause.SETTLING, cooldown_ms, stage
--- a/clementinewall/gateway/topic_followers.py
+++ b/clementinewall/gateway/topic_followers.py
@@ -104,17 +104,17 @@
             with anyio.move_on_after(clock.seconds(left)):
                 await self._update_received.wait()
 
-    def _queue_position(self):
-        return self._peers.place_in_line() if self._peers else 0
+    def _group_rank(self):
+        return self._peers.group_rank() if self._peers else 0
 
     def _max_age_ms(self):
-        return store_polling.max_age_ms(self._cycle, self._queue_position())
+        return store_polling.max_age_ms(self._cycle, self._group_rank())
 
     def _retry_ms(self):
         if self._next is None:
             # Updates from peers build on a snapshot, which is missing here.
             return store_polling.RETRY_MS
-        return store_polling.retry_ms(self._cycle, self._queue_position())
+        return store_polling.retry_ms(self._cycle, self._group_rank())
 
     async def _step(self):
         metrics.count("store_calls", topic=self._topic)
