--- a/clementinewall/gateway/membership.py
+++ b/clementinewall/gateway/cell_membership.py
@@ -7,27 +7,27 @@
 _log = logs.PartLog("cell")
 
 
-class Membership:
+class CellMembership:
     """Keeps the cell of this gateway current."""
 
-    def __init__(self, settings, beliefs):
+    def __init__(self, settings, fleet_view):
         """Begin alone."""
         self._ip = settings.ip
-        self._beliefs = beliefs
+        self._fleet_view = fleet_view
         self._cell = cells.Cell(frozenset((self._ip,)), frozenset())
-        self._dealt = None
+        self._assigned = None
 
     def update(self, live_ips):
         """Deal anew among the gateways that were heard lately."""
         engines = [
             cells.Engine(endpoint.id, endpoint.service, endpoint.stage)
-            for endpoint in self._beliefs.endpoint_by_id.values()
+            for endpoint in self._fleet_view.endpoint_by_id.values()
             if endpoint.stage in domain.STAGES and not endpoint.draining
         ]
-        dealt = frozenset(live_ips), frozenset(engines)
-        if dealt == self._dealt:
+        assigned = frozenset(live_ips), frozenset(engines)
+        if assigned == self._assigned:
             return
-        self._dealt = dealt
+        self._assigned = assigned
         cell = cells.assign(self._ip, {self._ip, *live_ips}, engines)
         if cell == self._cell:
             return
@@ -40,19 +40,19 @@
             of_engines=len(engines),
         )
 
-    def is_close(self, ip):
+    def is_cell_gateway(self, ip):
         """Tell whether a gateway shares this one's engines."""
         return ip in self._cell.gateways
 
-    def is_own(self, state):
+    def is_cell_engine(self, state):
         """Tell whether an engine belongs to this gateway's cell."""
         return state.endpoint.id in self._cell.engines
 
-    def own_engines(self, states):
+    def cell_engines(self, states):
         """Return those of the cell, or all where it has none."""
-        own = [s for s in states if self.is_own(s)]
-        return own if _has_decoder(own) else states
+        own = [s for s in states if self.is_cell_engine(s)]
+        return own if _has_decode_engine(own) else states
 
 
-def _has_decoder(states):
+def _has_decode_engine(states):
     return any(s.endpoint.stage == domain.DECODE for s in states)
--- a/clementinewall/gateway/beliefs.py
+++ b/clementinewall/gateway/fleet_view.py
@@ -18,10 +18,10 @@
 LAPSE_GRACE_MS = 2_000
 # A gap between two reads from which on records may have lapsed meanwhile.
 # Endpoints write about every 1,200 ms and lapse after three such spans.
-OUTAGE_MS = 1_500
+MIN_OUTAGE_MS = 1_500
 
 
-class Beliefs:
+class FleetView:
     """The configuration in force and the endpoints, with their offsets."""
 
     def __init__(self, now):
@@ -29,20 +29,20 @@
         self._now = now
         self.configuration = None
         self.endpoint_by_id = {}
-        self.fleet_known = False
+        self.is_fleet_known = False
         self._configuration_offset = -1
         self._offset_by_id = {}
         self._lapse_end_by_id = {}
         self._grace_until = None
         # Others that started lately may hold such a record for the newest.
-        self._kept_out = set()
+        self._rejected_ids = set()
 
     @property
     def is_ready(self):
         """Tell whether requests can be served by what is known."""
-        return self.configuration is not None and self.fleet_known
+        return self.configuration is not None and self.is_fleet_known
 
-    def take_configuration(self, record):
+    def apply_configuration(self, record):
         """Take in a record of the operators' topic; return if it is new."""
         if record.key != records.CONFIGURATION_KEY or record.value is None:
             return False
@@ -76,7 +76,7 @@
         )
         return True
 
-    def take_endpoint(self, record):
+    def apply_endpoint(self, record):
         """Take in a record of the endpoints' topic.
 
         Return whether others, who know all that came before it, have to be
@@ -87,7 +87,7 @@
             return True
         self._offset_by_id[record.key] = record.offset
         if record.value is None:
-            self._removed(record.key, record.offset)
+            self._remove(record.key, record.offset)
             return True
         try:
             found = records.endpoint(record.key, record.value)
@@ -108,14 +108,14 @@
                 endpoint=record.key,
                 offset=record.offset,
             )
-            self._kept_out.add(record.key)
+            self._rejected_ids.add(record.key)
             return True
-        is_news = (
+        is_update = (
             known != found
             or lapsed is not None
-            or record.key in self._kept_out
+            or record.key in self._rejected_ids
         )
-        self._kept_out.discard(record.key)
+        self._rejected_ids.discard(record.key)
         self.endpoint_by_id[record.key] = found
         if known != found:
             _log.info(
@@ -127,9 +127,9 @@
                 born=found.incarnation,
                 offset=record.offset,
             )
-        return is_news
+        return is_update
 
-    def take_whole_fleet(self, batch):
+    def apply_fleet_snapshot(self, batch):
         """Take in the newest record of each endpoint.
 
         An endpoint that isn't among them has left: its records, and that of
@@ -137,13 +137,13 @@
         """
         listed = {record.key for record in batch.records}
         for record in batch.records:
-            self.take_endpoint(record)
+            self.apply_endpoint(record)
         for name in list(self.endpoint_by_id):
             if name not in listed:
-                self._removed(name, batch.end)
-        self.fleet_known = True
+                self._remove(name, batch.end)
+        self.is_fleet_known = True
 
-    def _removed(self, name, offset):
+    def _remove(self, name, offset):
         if name not in self.endpoint_by_id:
             return
         now = self._now()
@@ -163,9 +163,9 @@
         if self.endpoint_by_id.pop(name, None) is not None:
             _log.info(f"endpoint {why}", endpoint=name, offset=offset)
 
-    def store_returned(self, away_ms):
+    def record_store_recovery(self, away_ms):
         """Note that reading works again after ``away_ms`` without."""
-        if away_ms >= OUTAGE_MS:
+        if away_ms >= MIN_OUTAGE_MS:
             self._grace_until = self._now() + LAPSE_GRACE_MS
 
     def expire(self):
