--- a/bench/replay.py
+++ b/bench/replay.py
@@ -248,7 +248,7 @@
             if split is not None and split.decode.score < choice.score:
                 plan = split
         if self.strategy.admits:
-            share, callers = self.shares[entry].of(request.caller)
+            share, callers = self.shares[entry].share(request.caller)
             demand = admission.Demand(row.priority, share, callers)
             if not admission.decide(plan.decode, demand, row.first_ms).admit:
                 return None
--- a/bench/slopes_policy.py
+++ b/bench/slopes_policy.py
@@ -75,7 +75,7 @@
 
         def work(table=table):
             table.add("caller-1", 100)
-            table.of("caller-1")
+            table.share("caller-1")
 
         points.append((count, slope.cpu_us(work, 200)))
     return slope.Slope("share cpu", "us", "caller", "in process", points)
--- a/clementinewall/entry/app.py
+++ b/clementinewall/entry/app.py
@@ -18,7 +18,7 @@
 from clementinewall.endpoints import sse
 from clementinewall.entry import calls
 from clementinewall.entry import progress
-from clementinewall.entry import work
+from clementinewall.entry import request_parsing
 from clementinewall import errors
 from clementinewall import logs
 from clementinewall import metrics
@@ -27,8 +27,8 @@
 
 _log = logs.PartLog("caller")
 
-ADDRESSES_LIMIT = 6
-ADDRESSES_A_DATA_CENTRE = 2
+MAX_ADDRESSES = 6
+MAX_ADDRESSES_PER_DATA_CENTRE = 2
 EVENT_STREAM = b"text/event-stream"
 
 
@@ -41,7 +41,7 @@
         self._loads = loads
         self._relay = relay
         self._calls = service_calls
-        self.open = 0
+        self.open_requests = 0
 
     def application(self):
         """Return the ASGI application."""
@@ -52,8 +52,12 @@
                 routing.Route(
                     "/v1/tickets", self._on_ticket, methods=["POST"]
                 ),
-                routing.Route("/v1/chat/completions", _Asgi(self._on_model)),
-                routing.Route("/v1/completions", _Asgi(self._on_model)),
+                routing.Route(
+                    "/v1/chat/completions", _PostEndpoint(self._on_model)
+                ),
+                routing.Route(
+                    "/v1/completions", _PostEndpoint(self._on_model)
+                ),
                 routing.Route(
                     "/services/{service}/{rest:path}",
                     self._on_call,
@@ -62,27 +66,27 @@
                 routing.Route("/live", _on_live),
             ]
         )
-        return self._counted(app)
+        return self._count_requests(app)
 
-    def _counted(self, app):
-        """Count open requests and end kept connections while leaving."""
+    def _count_requests(self, app):
+        """Count open requests and end kept connections while draining."""
 
         async def handle(scope, receive, send):
             if scope["type"] != "http":
                 await app(scope, receive, send)
                 return
-            self.open += 1
+            self.open_requests += 1
             try:
-                await app(scope, receive, self._leaving_send(send))
+                await app(scope, receive, self._close_when_draining(send))
             finally:
-                self.open -= 1
+                self.open_requests -= 1
 
         return handle
 
-    def _leaving_send(self, send):
-        async def mark(message):
-            leaving = self._node.stopping.is_set()
-            if leaving and message["type"] == "http.response.start":
+    def _close_when_draining(self, send):
+        async def send_marked(message):
+            draining = self._node.stopping.is_set()
+            if draining and message["type"] == "http.response.start":
                 # A caller that keeps its connection would send its next
                 # request into a closed socket and not know whether it ran.
                 headers = list(message.get("headers", []))
@@ -90,7 +94,7 @@
                 message = {**message, "headers": headers}
             await send(message)
 
-        return mark
+        return send_marked
 
     def _check_ready(self):
         if not self._node.is_ready():
@@ -98,17 +102,17 @@
                 "no configuration is known yet", retry_after_ms=1_000
             )
 
-    def _check_room(self):
+    def _check_capacity(self):
         """Refuse work that this entry cannot hold; it is not run."""
         self._check_ready()
-        if self.open > self._node.settings.limits.requests:
+        if self.open_requests > self._node.settings.limits.requests:
             raise errors.Overloaded(
                 "too many requests are open here", retry_after_ms=500
             )
 
-    async def _read_body(self, request, asked):
+    async def _read_body(self, request, context):
         """Read the body of work that has the time to end here."""
-        deadline_ms = asked.work_class.deadline_ms
+        deadline_ms = context.work_class.deadline_ms
         self._node.check_time(deadline_ms)
         raw = await _web.read_body(request, self._node.settings.limits)
         # The deadline counts from here, and a slow body takes its time too.
@@ -121,7 +125,7 @@
         rows = [r for r in rows if r.state == "live" and r.callers]
         near = settings.instance.data_centre
         rows.sort(key=lambda row: (row.data_centre != near, row.id))
-        picked = _spread(rows)
+        picked = _pick_addresses(rows)
         return responses.JSONResponse(
             {
                 "addresses": [
@@ -142,85 +146,93 @@
 
     async def _on_ticket(self, request):
         self._check_ready()
-        asked = work.read_asked(request, self._node.view, "service")
-        ticket = await self._calls.make_ticket(asked.caller)
+        context = request_parsing.read_context(
+            request, self._node.view, "service"
+        )
+        ticket = await self._calls.make_ticket(context.caller)
         return responses.JSONResponse({"idempotency_key": ticket})
 
     async def _on_call(self, request):
-        self._check_room()
-        asked = work.read_asked(request, self._node.view, "service")
+        self._check_capacity()
+        context = request_parsing.read_context(
+            request, self._node.view, "service"
+        )
         service = request.path_params["service"]
         if not self._loads.is_known("service", service):
             raise errors.UnknownService(f"no endpoint serves {service!r}")
-        raw = await self._read_body(request, asked)
-        key = work.read_key(request)
+        raw = await self._read_body(request, context)
+        key = request_parsing.read_key(request)
         call = calls.Call(
-            request_id=asked.request_id,
-            caller=asked.caller,
-            class_name=asked.class_name,
+            request_id=context.request_id,
+            caller=context.caller,
+            class_name=context.class_name,
             service=service,
             method=request.method,
             path=_service_path(request),
-            key=bookings.scoped_key(asked.caller, key or asked.request_id),
+            key=bookings.scoped_key(context.caller, key or context.request_id),
             body=base64.b64encode(raw).decode(),
             media_type=request.headers.get(
                 "content-type", "application/octet-stream"
             ),
-            deadline_ms=asked.work_class.deadline_ms,
-            trace=asked.trace,
+            deadline_ms=context.work_class.deadline_ms,
+            trace=context.trace,
         )
-        return await self._answer_call(asked, call, key)
+        return await self._answer_call(context, call, key)
 
-    async def _answer_call(self, asked, call, key):
+    async def _answer_call(self, context, call, key):
         started = self._node.clock.now()
         try:
-            if asked.work_class.idempotent:
+            if context.work_class.idempotent:
                 answer = await self._calls.run_idempotent(call)
             elif key is None:
                 raise errors.MissingKey(
-                    f"a call of class {asked.class_name} needs a key in "
-                    f"{work.KEY_HEADER}"
+                    f"a call of class {context.class_name} needs a key in "
+                    f"{request_parsing.KEY_HEADER}"
                 )
             else:
                 answer = await self._calls.run_booking(call)
         except errors.ClementinewallError as exc:
-            self._say_error(asked, exc)
-            return _web.problem(exc, asked.request_id)
+            self._log_error(context, exc)
+            return _web.problem(exc, context.request_id)
         took = self._node.clock.now() - started
-        metrics.observe_ms("call", took, work_class=asked.class_name)
+        metrics.observe_ms("call", took, work_class=context.class_name)
         return responses.Response(
             answer.body,
             status_code=answer.status,
             media_type=answer.media_type or None,
             headers={
-                "X-Request-Id": asked.request_id,
+                "X-Request-Id": context.request_id,
                 "X-Kept-Answer": "1" if answer.kept else "0",
             },
         )
 
     async def _on_model(self, scope, receive, send):
         request = requests.Request(scope, receive)
-        self._check_room()
+        self._check_capacity()
         limits = self._node.settings.limits
-        asked = work.read_asked(request, self._node.view, "model")
-        raw = await self._read_body(request, asked)
+        context = request_parsing.read_context(
+            request, self._node.view, "model"
+        )
+        raw = await self._read_body(request, context)
         body = _web.decode_object(raw)
-        wanted = work.read_model_work(request, asked, body, raw)
-        kind = _StreamSink if wanted.streamed else _WholeSink
-        sink = kind(wanted, send, limits)
+        work = request_parsing.read_model_work(request, context, body, raw)
+        kind = _StreamSink if work.streamed else _BufferedSink
+        sink = kind(work, send, limits)
         try:
-            await self._run_until_gone(wanted, sink, receive)
+            await self._run_until_disconnect(work, sink, receive)
         except errors.ClementinewallError as exc:
-            self._say_error(asked, exc)
+            self._log_error(context, exc)
             await sink.fail(exc, scope, receive)
 
-    async def _run_until_gone(self, wanted, sink, receive):
+    async def _run_until_disconnect(self, work, sink, receive):
         """Carry the answer, but stop when the caller has gone."""
         failure = None
         async with anyio.create_task_group() as group:
-            group.start_soon(_watch_gone, receive, sink, group.cancel_scope)
+            group.start_soon(
+                _cancel_on_disconnect, receive, sink, group.cancel_scope
+            )
             try:
-                await self._relay.run(wanted, sink)
+                await self._relay.run(work, sink)
                 await sink.finish()
             except errors.ClementinewallError as exc:
                 # Raised inside the group it would come out wrapped in an
@@ -230,19 +242,19 @@
         if failure is not None:
             raise failure
 
-    def _say_error(self, asked, exc):
-        metrics.count("errors", work_class=asked.class_name, code=exc.code)
+    def _log_error(self, context, exc):
+        metrics.count("errors", work_class=context.class_name, code=exc.code)
         _log.info(
             "ended with an error",
-            request=asked.request_id,
-            caller=asked.caller,
+            request=context.request_id,
+            caller=context.caller,
             code=exc.code,
             verdict=exc.verdict.value,
             why=exc.message,
         )
 
 
-class _Asgi:
+class _PostEndpoint:
     """Makes a method an ASGI endpoint that takes POST only."""
 
     def __init__(self, handle):
@@ -259,32 +271,32 @@
 class _StreamSink:
     """Sends events to the caller as they come."""
 
-    def __init__(self, wanted, send, limits):
-        self._wanted = wanted
+    def __init__(self, work, send, limits):
+        self._work = work
         self._send = send
-        self._seconds = clock.seconds(limits.slow_reader_ms)
+        self._timeout_s = clock.seconds(limits.slow_reader_ms)
         self.started = False
 
     async def send(self, raw, endpoint_id):
         if not self.started:
             await self._start(endpoint_id)
-        await self._push(raw, True)
+        await self._send_body(raw, True)
 
     async def finish(self):
-        await self._push_last(b"")
+        await self._end_body(b"")
 
     async def fail(self, error, scope, receive):
         if not self.started:
-            response = _web.problem(error, self._wanted.asked.request_id)
+            response = _web.problem(error, self._work.context.request_id)
             await response(scope, receive, self._send)
             return
-        body = _web.problem_body(error, self._wanted.asked.request_id)
+        body = _web.problem_body(error, self._work.context.request_id)
         event = f"event: error\ndata: {json.dumps(body)}\n\n"
-        await self._push_last(event.encode())
+        await self._end_body(event.encode())
 
     async def _start(self, endpoint_id):
         self.started = True
-        request_id = self._wanted.asked.request_id
+        request_id = self._work.context.request_id
         await self._send(
             {
                 "type": "http.response.start",
@@ -298,12 +310,12 @@
             }
         )
 
-    async def _push_last(self, body):
+    async def _end_body(self, body):
         """End the answer, unless the caller has stopped reading."""
-        with anyio.move_on_after(self._seconds):
-            await self._push(body, False)
+        with anyio.move_on_after(self._timeout_s):
+            await self._send_body(body, False)
 
-    async def _push(self, body, more):
+    async def _send_body(self, body, more):
         message = {
             "type": "http.response.body",
             "body": body,
@@ -312,11 +324,11 @@
         await self._send(message)
 
 
-class _WholeSink:
+class _BufferedSink:
     """Gathers the events into one answer."""
 
-    def __init__(self, wanted, send, _limits):
-        self._wanted = wanted
+    def __init__(self, work, send, _limits):
+        self._work = work
         self._send = send
         self._splitter = sse.Splitter()
         self._texts = []
@@ -334,32 +346,32 @@
             )
         response = responses.JSONResponse(
             self._answer(),
-            headers={"X-Request-Id": self._wanted.asked.request_id},
+            headers={"X-Request-Id": self._work.context.request_id},
         )
         await response({"type": "http"}, None, self._send)
 
     async def fail(self, error, scope, receive):
-        response = _web.problem(error, self._wanted.asked.request_id)
+        response = _web.problem(error, self._work.context.request_id)
         await response(scope, receive, self._send)
 
     def _answer(self):
         text = "".join(self._texts)
         choice = {"index": 0, "finish_reason": "stop"}
         kind = "text_completion"
-        if self._wanted.path.endswith("/chat/completions"):
+        if self._work.path.endswith("/chat/completions"):
             kind = "chat.completion"
             choice["message"] = {"role": "assistant", "content": text}
         else:
             choice["text"] = text
         return {
-            "id": self._wanted.asked.request_id,
+            "id": self._work.context.request_id,
             "object": kind,
-            "model": self._wanted.model,
+            "model": self._work.model,
             "choices": [choice],
         }
 
 
-async def _watch_gone(receive, _sink, scope):
+async def _cancel_on_disconnect(receive, _sink, scope):
     while True:
         message = await receive()
         if message["type"] == "http.disconnect":
@@ -374,16 +386,16 @@
     return path
 
 
-def _spread(rows):
+def _pick_addresses(rows):
     """Pick addresses over data centres, so that one death costs little."""
     picked = []
     by_data_centre = {}
     for row in rows:
-        kept = by_data_centre.setdefault(row.data_centre, [])
-        if len(kept) < ADDRESSES_A_DATA_CENTRE:
-            kept.append(row)
+        chosen = by_data_centre.setdefault(row.data_centre, [])
+        if len(chosen) < MAX_ADDRESSES_PER_DATA_CENTRE:
+            chosen.append(row)
             picked.append(row)
-    return picked[:ADDRESSES_LIMIT]
+    return picked[:MAX_ADDRESSES]
 
 
 async def _on_live(_request):
--- a/clementinewall/entry/calls.py
+++ b/clementinewall/entry/calls.py
@@ -26,17 +26,17 @@
 
 _log = logs.PartLog("call")
 
-ATTEMPTS = 3
-HOMES_TRIED = 3
+MAX_ATTEMPTS = 3
+MAX_OWNERS_TRIED = 3
 # An intent older than this is not dispatched any more by its own process:
 # after so long a pause the log may have forgotten the intent, and with it
 # the reason why nobody else runs the call.
-INTENT_FRESH_MS = 10_000
+MAX_INTENT_AGE_MS = 10_000
 # A home that is silent this long may be paused.  Going on elsewhere is safe
 # even if it is only slow, because the log lets one of the two dispatch.
-FORWARD_PATIENCE_MS = 1_500
-GONE_CHECK_MS = 500
-HOME_PATH = "/control/bookings"
+FORWARD_TIMEOUT_MS = 1_500
+OWNER_CHECK_INTERVAL_MS = 500
+BOOKINGS_PATH = "/control/bookings"
 TICKET_BYTES = 12
 
 
@@ -96,7 +96,7 @@
         random_part = secrets.token_hex(TICKET_BYTES)
         number = bookings.partition_of(f"{caller}/{random_part}")
         part = self._partition(number)
-        await part.wait_ready(partition.READ_BACK_MS)
+        await part.wait_ready(partition.READ_BACK_TIMEOUT_MS)
         return bookings.make_ticket(number, part.table.next, random_part)
 
     async def run_idempotent(self, call):
@@ -104,45 +104,47 @@
         return await self._dispatch(call, idempotent=True)
 
     async def run_booking(self, call):
-        """Answer a call that may run at most once, by way of its home."""
+        """Answer a call that may run at most once, by way of its owner."""
         end = self._node.clock.now() + call.deadline_ms
-        for home in self._homes(call.key):
+        for owner in self._owners(call.key):
             left = end - self._node.clock.now()
-            if home.id == self._node.id or left <= 0:
+            if owner.id == self._node.id or left <= 0:
                 break
             try:
-                return await self._forward(home, call, left)
+                return await self._forward(owner, call, left)
             except errors.EndpointFailed as exc:
                 _log.warning(
                     "a home entry did not answer",
                     request=call.request_id,
-                    home=home.id,
+                    home=owner.id,
                     error=exc.message,
                 )
         # Whatever those homes did, their intents are in the log or will
         # come too late: acting as home here cannot run the call twice.
         left = max(1, end - self._node.clock.now())
-        return await self.run_as_home(call._replace(deadline_ms=left))
+        return await self.run_as_owner(call._replace(deadline_ms=left))
 
-    async def run_as_home(self, call):
+    async def run_as_owner(self, call):
         """Announce, dispatch and conclude a booking at this entry."""
         part = self._partition(bookings.partition_of(call.key))
-        await part.wait_ready(min(call.deadline_ms, partition.READ_BACK_MS))
+        await part.wait_ready(
+            min(call.deadline_ms, partition.READ_BACK_TIMEOUT_MS)
+        )
         digest = _digest(call)
-        kept = part.kept(call.key)
-        if kept is None or kept.state == "not_run":
-            self._check_room(part, call)
+        booking = part.booking(call.key)
+        if booking is None or booking.state == "not_run":
+            self._check_capacity(part, call)
             self._guard.check(digest, verdicts.Verdict.NOT_RUN)
             intent = bookings.Intent(secrets.token_hex(8), call.key, digest)
             announced = self._node.clock.now()
-            kept = await part.announce(intent)
-            if kept.intent.id == intent.id and kept.state == "open":
+            booking = await part.announce(intent)
+            if booking.intent.id == intent.id and booking.state == "open":
                 return await self._run_once(part, call, intent, announced)
-        if kept.intent.digest != digest:
+        if booking.intent.digest != digest:
             raise errors.KeyReused("the key came with another request")
         return await self._await_outcome(part, call)
 
-    def _check_room(self, part, call):
+    def _check_capacity(self, part, call):
         if part.table.is_expired(call.key):
             raise errors.KeyExpired(
                 "the ticket is older than the log's memory"
@@ -155,29 +157,29 @@
     async def _run_once(self, part, call, intent, announced):
         """Dispatch the call whose own intent is the valid one."""
 
-        def conclude(state, **members_of_outcome):
-            part.conclude(
+        def record_outcome(state, **outcome_fields):
+            part.record_outcome(
                 bookings.Outcome(
-                    intent.id, intent.key, state, **members_of_outcome
+                    intent.id, intent.key, state, **outcome_fields
                 )
             )
 
         waited = self._node.clock.now() - announced
-        if waited > INTENT_FRESH_MS:
-            conclude("not_run")
+        if waited > MAX_INTENT_AGE_MS:
+            record_outcome("not_run")
             raise errors.LogUnavailable(
                 f"held up for {waited} ms", retry_after_ms=1_000
             )
         try:
             answer = await self._dispatch(call, idempotent=False)
         except errors.ClementinewallError as exc:
-            is_free = exc.verdict is verdicts.Verdict.NOT_RUN
-            conclude("not_run" if is_free else "in_doubt")
+            is_not_run = exc.verdict is verdicts.Verdict.NOT_RUN
+            record_outcome("not_run" if is_not_run else "in_doubt")
             raise
         body = answer.body
         if len(body) > bookings.MAX_KEPT_BODY_CHARS:
             body = ""
-        conclude(
+        record_outcome(
             "ran",
             status=answer.status,
             body=body,
@@ -189,21 +191,23 @@
         """Wait for what another copy of the call comes to."""
         end = self._node.clock.now() + call.deadline_ms
         while True:
-            kept = part.kept(call.key)
-            if kept is None or kept.state == "not_run":
+            booking = part.booking(call.key)
+            if booking is None or booking.state == "not_run":
                 raise errors.NoEndpoint(
                     "an earlier copy was not run", retry_after_ms=200
                 )
-            if kept.state == "ran":
-                return _kept_answer(kept.outcome)
+            if booking.state == "ran":
+                return _recorded_answer(booking.outcome)
             left = end - self._node.clock.now()
-            is_gone = kept.state == "open" and not self._is_live(kept.by)
-            if kept.state == "in_doubt" or is_gone or left <= 0:
+            is_orphaned = booking.state == "open" and not self._is_live(
+                booking.by
+            )
+            if booking.state == "in_doubt" or is_orphaned or left <= 0:
                 raise errors.BookingInDoubt(
                     "a call with this key began and left no outcome",
-                    retry_after_ms=None if is_gone else 1_000,
+                    retry_after_ms=None if is_orphaned else 1_000,
                 )
-            await part.wait_change(min(left, GONE_CHECK_MS))
+            await part.wait_change(min(left, OWNER_CHECK_INTERVAL_MS))
 
     async def _dispatch(self, call, idempotent):
         """Try endpoints until one answers or no more try is allowed."""
@@ -211,7 +215,7 @@
         end = self._node.clock.now() + call.deadline_ms
         failed = set()
         last = None
-        for _ in range(ATTEMPTS):
+        for _ in range(MAX_ATTEMPTS):
             verdict = last.verdict if last else verdicts.Verdict.NOT_RUN
             self._guard.check(digest, verdict)
             name = self._choose(call, digest, failed, verdict)
@@ -235,7 +239,7 @@
 
     def _choose(self, call, digest, failed, verdict):
         work = crash_guard.Work(digest, "service", call.service, digest)
-        only = self._guard.only_choice(work, failed, verdict)
+        only = self._guard.remaining_endpoint(work, failed, verdict)
         return only or self._loads.least_busy(call.service, digest, failed)
 
     async def _attempt(self, call, name, timeout_ms):
@@ -259,12 +263,12 @@
             service=call.service,
             endpoint=name,
         )
-        self._loads.sent(name, 0)
+        self._loads.record_sent(name, 0)
         try:
             answer = await attempt.call(self._http, name, request, timeout_ms)
         finally:
-            self._loads.ended(name)
-        self._loads.worked(name)
+            self._loads.record_end(name)
+        self._loads.record_answer(name)
         metrics.count("called", work_class=call.class_name)
         media_type = answer.headers.get("content-type", "")
         return Answer(answer.status_code, answer.text, media_type)
@@ -277,13 +281,13 @@
             verdict=exc.verdict.value,
             error=exc.message,
         )
-        self._loads.failed(name)
+        self._loads.record_failure(name)
         if exc.verdict is not verdicts.Verdict.NOT_RUN:
-            await self._guard.after_failure(
+            await self._guard.record_failure(
                 digest, call.request_id, name, strong=True
             )
 
-    async def _forward(self, home, call, timeout_ms):
+    async def _forward(self, owner, call, timeout_ms):
         """Have the home entry run the call.
 
         :raises EndpointFailed: it gave no answer of its own.
@@ -291,23 +295,23 @@
         token = self._node.settings.security.control_token
         request = self._http.build_request(
             "POST",
-            f"http://{home.control}{HOME_PATH}",
+            f"http://{owner.control}{BOOKINGS_PATH}",
             json=_schema.plain(call._replace(deadline_ms=timeout_ms)),
             headers={"Authorization": f"Bearer {token}"},
         )
-        patience = min(timeout_ms, FORWARD_PATIENCE_MS)
-        answer = await attempt.call(self._http, home.id, request, patience)
+        limit_ms = min(timeout_ms, FORWARD_TIMEOUT_MS)
+        answer = await attempt.call(self._http, owner.id, request, limit_ms)
         if answer.status_code != 200:
             error = _web.error_of_problem(answer.content)
             if error is None or isinstance(error, errors.NotReady):
-                raise errors.EndpointFailed(f"{home.id}: no clear answer")
+                raise errors.EndpointFailed(f"{owner.id}: no clear answer")
             raise error
         value, mistakes = _schema.build(Answer, answer.json())
         if mistakes:
-            raise errors.EndpointFailed(f"{home.id}: {mistakes[0]}")
+            raise errors.EndpointFailed(f"{owner.id}: {mistakes[0]}")
         return value
 
-    def _homes(self, key):
+    def _owners(self, key):
         """Return the entries to act as home of the key, best first.
 
         They are drawn from the rows that every node knows, so that all
@@ -316,7 +320,7 @@
         rows = {r.id: r for r in self._node.members.representatives("entry")}
         number = bookings.partition_of(key)
         order = members.rendezvous(f"bookings-{number}", list(rows))
-        return [rows[name] for name in order[:HOMES_TRIED]]
+        return [rows[name] for name in order[:MAX_OWNERS_TRIED]]
 
     def _is_live(self, boot):
         return any(row.boot == boot for row in self._node.members.live())
@@ -335,5 +339,5 @@
     return hashlib.blake2b(text.encode(), digest_size=12).hexdigest()
 
 
-def _kept_answer(outcome):
+def _recorded_answer(outcome):
     return Answer(outcome.status, outcome.body, outcome.media_type, True)
--- a/clementinewall/entry/crash_guard.py
+++ b/clementinewall/entry/crash_guard.py
@@ -17,11 +17,11 @@
 
 _log = logs.PartLog("crash")
 
-PROBE_MS = 500
-PROBE_PAUSE_MS = 100
-PROBES = 4
-SPREAD_MS = 1_000
-SETTLE_MS = 200
+PROBE_TIMEOUT_MS = 500
+PROBE_INTERVAL_MS = 100
+MAX_PROBES = 4
+ANNOUNCE_TIMEOUT_MS = 1_000
+PROPAGATION_MS = 200
 
 
 class Work(typing.NamedTuple):
@@ -44,7 +44,7 @@
         """Use the node's table of marks and the loads' reports."""
         self._node = node
         self._loads = loads
-        self._http = _http.client(PROBE_MS)
+        self._http = _http.client(PROBE_TIMEOUT_MS)
 
     def check(self, digest, verdict):
         """Refuse work that crashed two endpoints.
@@ -56,7 +56,7 @@
                 "this request crashed two endpoints", verdict
             )
 
-    def only_choice(self, work, failed, verdict):
+    def remaining_endpoint(self, work, failed, verdict):
         """Return the one endpoint that may still try suspect work.
 
         ``None`` means that the work is not suspect.  The endpoint is the
@@ -68,20 +68,20 @@
 
         :raises NoEndpoint: there is none, or it failed already.
         """
-        suspect = self._node.crashes.endpoints(work.digest)
-        if not suspect:
+        crashed = self._node.crashes.endpoints(work.digest)
+        if not crashed:
             return None
-        order = self._loads.by_preference(work.kind, work.name, work.text)
-        left = [name for name in order if name not in suspect]
-        if not left or left[0] in failed:
+        order = self._loads.preference_order(work.kind, work.name, work.text)
+        remaining = [name for name in order if name not in crashed]
+        if not remaining or remaining[0] in failed:
             raise errors.NoEndpoint(
-                "no endpoint is left to try this request", verdict
+                "no endpoint remains to try this request", verdict
             )
-        return left[0]
+        return remaining[0]
 
-    async def after_failure(self, digest, request_id, name, strong):
+    async def record_failure(self, digest, request_id, name, strong):
         """Mark the work if its endpoint is gone, and tell the peers."""
-        if await self._is_up(name):
+        if await self._is_running(name):
             return
         if self._node.crashes.add(digest, name, strong=strong):
             _log.warning(
@@ -92,21 +92,21 @@
             )
         # Without telling first, the caller's copy at another entry would
         # find an endpoint before the mark does.
-        with anyio.move_on_after(clock.seconds(SPREAD_MS)):
+        with anyio.move_on_after(clock.seconds(ANNOUNCE_TIMEOUT_MS)):
             await self._node.gossip.announce()
-        await anyio.sleep(clock.seconds(SETTLE_MS))
+        await anyio.sleep(clock.seconds(PROPAGATION_MS))
 
-    async def _is_up(self, name):
+    async def _is_running(self, name):
         """Tell whether the endpoint still runs, as the same process.
 
         A process that is just dying may still accept the probe and then
         break it off, which proves nothing: it is probed again.
         """
-        for _ in range(PROBES):
+        for _ in range(MAX_PROBES):
             answer = await self._probe(name)
             if answer is not None:
                 return answer
-            await anyio.sleep(clock.seconds(PROBE_PAUSE_MS))
+            await anyio.sleep(clock.seconds(PROBE_INTERVAL_MS))
         return True
 
     async def _probe(self, name):
--- a/clementinewall/entry/loads.py
+++ b/clementinewall/entry/loads.py
@@ -26,15 +26,15 @@
 _log = logs.PartLog("load")
 
 POLL_TIMEOUT_MS = 1_000
-NEAR_MS = 0.5
-FAR_MS = 1.5
-PREFIX_CHARS = 256
-PREFIXES_LIMIT = 8_192
-PREFIXES_A_PROMPT = 32
+SAME_DATA_CENTRE_MS = 0.5
+OTHER_DATA_CENTRE_MS = 1.5
+PREFIX_BLOCK_CHARS = 256
+MAX_PREFIXES = 8_192
+MAX_PREFIXES_PER_PROMPT = 32
 CHARS_PER_TOKEN = 4
 AFFINITY_CHARS = 1_024
-PREFERRED = 2
-PREFERRED_OPEN = 4
+PREFERRED_ENDPOINTS = 2
+PREFERRED_EXTRA_CALLS = 4
 
 
 class _Index(typing.NamedTuple):
@@ -53,23 +53,23 @@
         """Read the configuration in force and the clock of ``node``."""
         self._node = node
         self._polls = node.settings.polls
-        self._seen_by_id = collections.defaultdict(load_tracking.Tracker)
+        self._tracker_by_id = collections.defaultdict(load_tracking.Tracker)
         self._endpoint_by_prefix = collections.OrderedDict()
-        self._known_index = None
+        self._cached_index = None
         self._http = _http.client(POLL_TIMEOUT_MS)
 
     async def run(self):
         """Poll the reports for ever."""
         while True:
-            wanted = self._due()
-            for name in list(self._seen_by_id):
+            wanted = self._due_for_poll()
+            for name in list(self._tracker_by_id):
                 if name not in self._node.view.endpoints_by_id:
-                    del self._seen_by_id[name]
+                    del self._tracker_by_id[name]
             async with anyio.create_task_group() as group:
                 for name in wanted:
                     group.start_soon(self._poll, name)
-            spread = random.uniform(0.8, 1.2)
-            await anyio.sleep(clock.seconds(self._polls.load_ms) * spread)
+            jitter = random.uniform(0.8, 1.2)
+            await anyio.sleep(clock.seconds(self._polls.load_ms) * jitter)
 
     def models(self):
         """Return the names of the models that the fleet serves."""
@@ -84,30 +84,32 @@
         """Tell whether any endpoint serves or served ``name``."""
         return (kind, name) in self._index().known
 
-    def usable(self, kind, name, without=()):
+    def usable(self, kind, name, excluded=()):
         """Return the ids to choose from now."""
-        ids = [i for i in self.serving(kind, name) if i not in without]
+        ids = [i for i in self.serving(kind, name) if i not in excluded]
         ids = [i for i in ids if not self._is_paused(i)]
         now = self._node.clock.now()
-        well = [i for i in ids if self._seen_by_id[i].health.is_usable(now)]
+        healthy = [
+            i for i in ids if self._tracker_by_id[i].health.is_usable(now)
+        ]
         # If every endpoint of a model looks ill, the fault is likelier on
         # this side: leaving them all out would refuse work for nothing.
-        return well or ids
+        return healthy or ids
 
-    def candidates(self, model, prompt, without=()):
+    def candidates(self, model, prompt, excluded=()):
         """Return the engines to choose from as the policy sees them."""
-        liked = self.preferred("engine", model, prompt)
-        near = self._index().subset.get(("engine", model), [])
-        ids = self.usable("engine", model, without)
+        preferred = self.preferred("engine", model, prompt)
+        subset = self._index().subset.get(("engine", model), [])
+        ids = self.usable("engine", model, excluded)
         if len(ids) > self._polls.subset:
-            polled = {*near, *liked}
+            polled = {*subset, *preferred}
             ids = [name for name in ids if name in polled] or ids[
                 : self._polls.subset
             ]
-        hints = self._hints(prompt)
-        return [self._candidate(name, hints) for name in ids]
+        cached = self._cached_tokens(prompt)
+        return [self._candidate(name, cached) for name in ids]
 
-    def by_preference(self, kind, name, text):
+    def preference_order(self, kind, name, text):
         """Return the endpoints in the order that equal texts find.
 
         The order comes from the published configuration, on which all
@@ -119,22 +121,24 @@
 
     def preferred(self, kind, name, text):
         """Return the endpoints that equal texts find at every entry."""
-        return tuple(self.by_preference(kind, name, text)[:PREFERRED])
+        return tuple(
+            self.preference_order(kind, name, text)[:PREFERRED_ENDPOINTS]
+        )
 
-    def least_busy(self, service, digest, without=()):
+    def least_busy(self, service, digest, excluded=()):
         """Return the service endpoint with the least open calls.
 
         Those that equal calls prefer go first unless they are much busier.
         """
-        ids = self.usable("service", service, without)
+        ids = self.usable("service", service, excluded)
         if not ids:
             return None
         order = members.rendezvous(self._node.id, ids)
-        liked = self.preferred("service", service, digest)
+        preferred = self.preferred("service", service, digest)
 
         def rank(name):
-            extra = 0 if name in liked else PREFERRED_OPEN
-            return self._seen_by_id[name].open + extra, self._distance(name)
+            extra = 0 if name in preferred else PREFERRED_EXTRA_CALLS
+            return self._tracker_by_id[name].open + extra, self._distance(name)
 
         return min(order, key=rank)
 
@@ -142,7 +146,7 @@
         """Return the endpoint's published row, or ``None``."""
         return self._node.view.endpoints_by_id.get(endpoint_id)
 
-    def take_header(self, endpoint_id, text):
+    def apply_report_header(self, endpoint_id, text):
         """Take in the report that came along with an answer, if any."""
         if text is None:
             return
@@ -151,44 +155,44 @@
         except (ValueError, errors.BadRecord) as exc:
             _log.debug("a garbled header", endpoint=endpoint_id, why=exc)
             return
-        self._seen_by_id[endpoint_id].apply_report(
+        self._tracker_by_id[endpoint_id].apply_report(
             report, self._node.clock.now()
         )
 
     def report(self, endpoint_id):
         """Return the last report of the endpoint, or ``None``."""
-        return self._seen_by_id[endpoint_id].report
+        return self._tracker_by_id[endpoint_id].report
 
-    def sent(self, endpoint_id, tokens):
+    def record_sent(self, endpoint_id, tokens):
         """Count work that goes to the endpoint now."""
-        self._seen_by_id[endpoint_id].sent(tokens)
+        self._tracker_by_id[endpoint_id].sent(tokens)
 
-    def ended(self, endpoint_id):
+    def record_end(self, endpoint_id):
         """Count the end of one such work."""
-        self._seen_by_id[endpoint_id].ended()
+        self._tracker_by_id[endpoint_id].ended()
 
-    def worked(self, endpoint_id, gap_ms=None):
+    def record_answer(self, endpoint_id, gap_ms=None):
         """Note an answer, with the time seen between its tokens."""
-        self._seen_by_id[endpoint_id].record_answer(gap_ms)
+        self._tracker_by_id[endpoint_id].record_answer(gap_ms)
 
-    def failed(self, endpoint_id):
+    def record_failure(self, endpoint_id):
         """Note a failure; several in a row leave the endpoint out."""
         now = self._node.clock.now()
-        paused_ms = self._seen_by_id[endpoint_id].health.record_failure(now)
+        paused_ms = self._tracker_by_id[endpoint_id].health.record_failure(now)
         if paused_ms:
             _log.warning(
                 "an endpoint is left out", endpoint=endpoint_id, ms=paused_ms
             )
 
-    def remember_prefix(self, endpoint_id, prompt):
+    def record_prefixes(self, endpoint_id, prompt):
         """Note that the engine now caches the prompt's prefixes."""
         for digest, _ in _prefixes(prompt):
             self._endpoint_by_prefix[digest] = endpoint_id
             self._endpoint_by_prefix.move_to_end(digest)
-        while len(self._endpoint_by_prefix) > PREFIXES_LIMIT:
+        while len(self._endpoint_by_prefix) > MAX_PREFIXES:
             self._endpoint_by_prefix.popitem(last=False)
 
-    def _hints(self, prompt):
+    def _cached_tokens(self, prompt):
         """Return the cached tokens by engine, as far as it is known."""
         cached = {}
         for digest, chars in _prefixes(prompt):
@@ -204,9 +208,9 @@
         a pass over a large fleet takes longer than the whole choice.
         """
         view = self._node.view
-        if self._known_index is None or self._known_index.view is not view:
-            self._known_index = self._make_index(view)
-        return self._known_index
+        if self._cached_index is None or self._cached_index.view is not view:
+            self._cached_index = self._make_index(view)
+        return self._cached_index
 
     def _make_index(self, view):
         serving = collections.defaultdict(list)
@@ -224,23 +228,27 @@
         return _Index(view, dict(serving), set(known), subset)
 
     def _is_paused(self, endpoint_id):
-        report = self._seen_by_id[endpoint_id].report
+        report = self._tracker_by_id[endpoint_id].report
         return report is not None and (report.quiesced or report.changing)
 
     def _distance(self, endpoint_id):
         endpoint = self._node.view.endpoints_by_id[endpoint_id]
         own = self._node.settings.instance
-        return NEAR_MS if endpoint.data_centre == own.data_centre else FAR_MS
+        return (
+            SAME_DATA_CENTRE_MS
+            if endpoint.data_centre == own.data_centre
+            else OTHER_DATA_CENTRE_MS
+        )
 
-    def _candidate(self, endpoint_id, hints):
-        return self._seen_by_id[endpoint_id].candidate(
+    def _candidate(self, endpoint_id, cached):
+        return self._tracker_by_id[endpoint_id].candidate(
             endpoint_id,
             self._node.clock.now(),
             self._distance(endpoint_id),
-            hints.get(endpoint_id, 0),
+            cached.get(endpoint_id, 0),
         )
 
-    def _due(self):
+    def _due_for_poll(self):
         """Return the endpoints of the subsets whose report is old.
 
         Answers bring reports along, so under load few are left to poll.
@@ -252,8 +260,8 @@
         return [
             name
             for name in wanted
-            if self._seen_by_id[name].at is None
-            or self._seen_by_id[name].at <= limit
+            if self._tracker_by_id[name].at is None
+            or self._tracker_by_id[name].at <= limit
         ]
 
     async def _poll(self, endpoint_id):
@@ -267,9 +275,9 @@
         except errors.EndpointFailed as exc:
             _log.debug("no report", endpoint=endpoint_id, why=exc.message)
             if exc.verdict is verdicts.Verdict.NOT_RUN:
-                self.failed(endpoint_id)
+                self.record_failure(endpoint_id)
             return
-        self._seen_by_id[endpoint_id].apply_report(
+        self._tracker_by_id[endpoint_id].apply_report(
             report, self._node.clock.now()
         )
 
@@ -277,7 +285,7 @@
 def _prefixes(prompt):
     """Yield the digest and length of each whole block of the prompt."""
     state = hashlib.blake2b(digest_size=8)
-    last = min(len(prompt), PREFIX_CHARS * PREFIXES_A_PROMPT)
-    for end in range(PREFIX_CHARS, last + 1, PREFIX_CHARS):
-        state.update(prompt[end - PREFIX_CHARS : end].encode())
+    last = min(len(prompt), PREFIX_BLOCK_CHARS * MAX_PREFIXES_PER_PROMPT)
+    for end in range(PREFIX_BLOCK_CHARS, last + 1, PREFIX_BLOCK_CHARS):
+        state.update(prompt[end - PREFIX_BLOCK_CHARS : end].encode())
         yield state.copy().digest(), end
--- a/clementinewall/entry/model.py
+++ b/clementinewall/entry/model_relay.py
@@ -1,7 +1,7 @@
 """Carrying a model's answer from engines to a caller.
 
 The relay chooses an engine, opens the stream, and passes each position on
-once.  When an engine breaks off, or has to be left because its withdrawal is
+once.  When an engine breaks off, or must be left because its withdrawal is
 published, the answer goes on from the last position at another engine.
 """
 
@@ -29,14 +29,14 @@
 
 _log = logs.PartLog("route")
 
-ATTEMPTS = 4
+MAX_ATTEMPTS = 4
 # Before the second retry and, twice as long, before the third; the first
 # goes at once, to another engine.
 BACKOFF_MS = 300
 # A split pays off for long prompts only; below, the extra hop costs more
 # than the prompt work it moves away.
-SPLIT_TOKENS = 512
-MOVE_MS_PER_TOKEN = 0.005
+MIN_SPLIT_TOKENS = 512
+KV_TRANSFER_MS_PER_TOKEN = 0.005
 
 
 class Sink(typing.Protocol):
@@ -46,7 +46,7 @@
         """Take the bytes of one event."""
 
 
-class _Moved(Exception):
+class _EngineWithdrawn(Exception):
     """The engine is leaving; the stream goes on elsewhere."""
 
 
@@ -63,7 +63,9 @@
         self._loads = loads
         self._shares = shares
         self._http = attempt.stream_client()
-        self._budgets = collections.defaultdict(retry_budget.RetryBudget)
+        self._budget_by_class = collections.defaultdict(
+            retry_budget.RetryBudget
+        )
 
     async def watch(self):
         """Run the watchdog of all streams for ever."""
@@ -74,135 +76,139 @@
 
         :raises ClementinewallError: with the verdict, when given up.
         """
-        run = progress.Run(work, self._node.clock.now())
+        state = progress.RequestState(work, self._node.clock.now())
         if not self._loads.is_known("engine", work.model):
             raise errors.UnknownModel(f"no engine serves {work.model!r}")
-        self._budgets[work.asked.class_name].earn()
-        left = work.asked.work_class.deadline_ms
+        self._budget_by_class[work.context.class_name].earn()
+        deadline_ms = work.context.work_class.deadline_ms
         try:
-            await self._carry(run, sink, left)
+            await self._run_with_deadline(state, sink, deadline_ms)
         finally:
-            self.outcomes.add(work.model, run.is_good())
+            self.outcomes.add(work.model, state.is_good())
 
-    async def _carry(self, run, sink, left):
+    async def _run_with_deadline(self, state, sink, deadline_ms):
         try:
-            with anyio.fail_after(clock.seconds(left)):
-                await self._attempts(run, sink)
+            with anyio.fail_after(clock.seconds(deadline_ms)):
+                await self._run_attempts(state, sink)
         except TimeoutError as exc:
             raise errors.DeadlineExceeded(
-                f"no whole answer in {left} ms", run.verdict
+                f"no whole answer in {deadline_ms} ms", state.verdict
             ) from exc
 
-    async def _attempts(self, run, sink):
-        while not run.sequence.finished:
-            plan = self._plan(run)
+    async def _run_attempts(self, state, sink):
+        while not state.sequence.finished:
+            plan = self._plan(state)
             try:
-                await self._attempt(run, plan, sink)
-            except _Moved:
+                await self._attempt(state, plan, sink)
+            except _EngineWithdrawn:
                 _log.info(
                     "moving a stream from an engine that leaves",
-                    request=run.work.asked.request_id,
+                    request=state.work.context.request_id,
                     endpoint=plan.decode.id,
-                    position=run.sequence.delivered,
+                    position=state.sequence.delivered,
                 )
-                run.failed.add(plan.decode.id)
+                state.failed_ids.add(plan.decode.id)
             except errors.ClementinewallError as exc:
-                await self._after_failure(run, exc)
+                await self._after_failure(state, exc)
 
-    def _plan(self, run):
+    def _plan(self, state):
         """Return where the answer shall come from next."""
-        work = run.work
-        self._guard.check(work.digest, run.verdict)
-        only = self._guard.only_choice(
+        work = state.work
+        self._guard.check(work.digest, state.verdict)
+        only = self._guard.remaining_endpoint(
             crash_guard.Work(work.digest, "engine", work.model, work.prompt),
-            run.failed,
-            run.verdict,
+            state.failed_ids,
+            state.verdict,
         )
         if only is not None:
             choice = routing.Choice(only, 0.0, 0.0, 0.0, "suspect work")
             plan = routing.Split("", choice)
-            self._say_choice(run, plan)
+            self._log_choice(state, plan)
             return plan
         candidates = self._loads.candidates(
-            work.model, work.prompt, run.failed
+            work.model, work.prompt, state.failed_ids
         )
-        if not candidates and run.failed:
+        if not candidates and state.failed_ids:
             # Every engine failed this request once.  A broken connection
             # says little about the engine behind it, so those that are
             # still up get another turn; the attempts are bounded anyway.
-            run.failed.clear()
+            state.failed_ids.clear()
             candidates = self._loads.candidates(work.model, work.prompt)
-        wanted = progress.wanted(work)
+        routing_work = progress.routing_work(work)
         draw = int(work.digest[:6], 16) / 0x1000000
         choice = routing.choose(
             candidates,
-            wanted,
+            routing_work,
             draw,
             self._loads.preferred("engine", work.model, work.prompt),
         )
         if choice is None:
             raise errors.NoEndpoint(
                 f"no engine for {work.model!r} is in reach",
-                run.verdict,
+                state.verdict,
                 retry_after_ms=1_000,
             )
         plan = routing.Split("", choice)
-        if wanted.prompt_tokens >= SPLIT_TOKENS:
-            move = wanted.prompt_tokens * MOVE_MS_PER_TOKEN
-            split = routing.choose_split(candidates, wanted, draw, move)
+        if routing_work.prompt_tokens >= MIN_SPLIT_TOKENS:
+            transfer_ms = routing_work.prompt_tokens * KV_TRANSFER_MS_PER_TOKEN
+            split = routing.choose_split(
+                candidates, routing_work, draw, transfer_ms
+            )
             if split is not None and split.decode.score < choice.score:
                 plan = split
-        if run.attempts == 0 and run.work.delivered == 0:
-            self._admit(run, plan.decode)
-        self._say_choice(run, plan)
+        if state.attempts == 0 and state.work.delivered == 0:
+            self._admit(state, plan.decode)
+        self._log_choice(state, plan)
         return plan
 
-    def _admit(self, run, choice):
-        asked = run.work.asked
-        share, callers = self._shares.of(asked.caller)
-        demand = admission.Demand(asked.work_class.priority, share, callers)
-        verdict = admission.decide(choice, demand, asked.work_class.first_ms)
-        if verdict.admit:
-            self._shares.add(asked.caller, progress.tokens(run.work))
+    def _admit(self, state, choice):
+        context = state.work.context
+        share, callers = self._shares.share(context.caller)
+        demand = admission.Demand(context.work_class.priority, share, callers)
+        decision = admission.decide(
+            choice, demand, context.work_class.first_ms
+        )
+        if decision.admit:
+            self._shares.add(context.caller, progress.total_tokens(state.work))
             return
         _log.info(
             "refused",
-            request=asked.request_id,
-            work_class=asked.class_name,
-            caller=asked.caller,
-            why=verdict.reason,
-            retry_ms=verdict.retry_after_ms,
+            request=context.request_id,
+            work_class=context.class_name,
+            caller=context.caller,
+            why=decision.reason,
+            retry_ms=decision.retry_after_ms,
         )
-        metrics.count("refused", work_class=asked.class_name)
+        metrics.count("refused", work_class=context.class_name)
         raise errors.Overloaded(
-            verdict.reason, retry_after_ms=verdict.retry_after_ms
+            decision.reason, retry_after_ms=decision.retry_after_ms
         )
 
-    async def _attempt(self, run, plan, sink):
-        work = run.work
-        run.seen_here = 0
-        headers = self._headers(run)
+    async def _attempt(self, state, plan, sink):
+        work = state.work
+        state.attempt_events = 0
+        headers = self._headers(state)
         if plan.prefill_id:
-            await self._prefill(run, plan.prefill_id, headers)
-        name = run.engine = plan.decode.id
+            await self._prefill(state, plan.prefill_id, headers)
+        name = state.engine_id = plan.decode.id
         endpoint = self._endpoint(name)
         url = f"http://{endpoint.address}{work.path}"
         request = self._http.build_request(
-            "POST", url, content=run.body(), headers=headers
+            "POST", url, content=state.body(), headers=headers
         )
         tokens = 0 if plan.prefill_id else progress.prompt_tokens(work)
-        self._loads.sent(name, tokens)
+        self._loads.record_sent(name, tokens)
         try:
-            await self._stream(run, name, request, sink)
+            await self._stream(state, name, request, sink)
         except httpx.HTTPError as exc:
             raise attempt.failure(name, exc) from exc
         except TimeoutError as exc:
             raise errors.EndpointFailed(f"{name}: silent too long") from exc
         finally:
-            self._loads.ended(name)
+            self._loads.record_end(name)
 
-    async def _stream(self, run, name, request, sink):
-        with anyio.fail_after(clock.seconds(run.silence_ms())):
+    async def _stream(self, state, name, request, sink):
+        with anyio.fail_after(clock.seconds(state.silence_timeout_ms())):
             answer = await self._http.send(request, stream=True)
         try:
             if attempt.is_refusal(answer):
@@ -210,16 +216,18 @@
                     f"{name}: refused", verdicts.Verdict.NOT_RUN
                 )
             if answer.status_code != 200:
-                await self._fail_status(name, answer)
-            self._loads.take_header(name, answer.headers.get(reports.HEADER))
-            await self._relay(run, name, answer, sink)
+                await self._raise_for_status(name, answer)
+            self._loads.apply_report_header(
+                name, answer.headers.get(reports.HEADER)
+            )
+            await self._relay(state, name, answer, sink)
         finally:
             with anyio.CancelScope(shield=True):
                 await answer.aclose()
 
-    async def _relay(self, run, name, answer, sink):
+    async def _relay(self, state, name, answer, sink):
         with self._watchdog.watch() as watch:
-            await self._relay_watched(run, name, answer, sink, watch)
+            await self._relay_watched(state, name, answer, sink, watch)
         if watch.expired == watchdog.CALLER:
             raise errors.CallerTooSlow("the caller reads too slowly")
         if watch.expired == watchdog.ENGINE:
@@ -227,65 +235,65 @@
             # nothing; unwatched, its streams would end at the deadline.
             raise errors.EndpointFailed(f"{name}: silent too long")
 
-    async def _relay_watched(self, run, name, answer, sink, watch):
+    async def _relay_watched(self, state, name, answer, sink, watch):
         splitter = sse.Splitter()
         started = self._node.clock.now()
-        watch.wait_for(watchdog.ENGINE, run.silence_ms())
+        watch.wait_for(watchdog.ENGINE, state.silence_timeout_ms())
         async for piece in answer.aiter_raw():
             for event in splitter.feed(piece):
-                if run.sequence.accept(event):
+                if state.sequence.accept(event):
                     watch.wait_for(watchdog.CALLER, self._slow_reader_ms)
-                    await self._pass_on(run, name, event, sink)
-            if run.sequence.finished:
-                self._say_done(run, name, started)
+                    await self._forward_event(state, name, event, sink)
+            if state.sequence.finished:
+                self._record_answer(state, name, started)
                 return
-            self._check_leaving(run, name)
-            watch.wait_for(watchdog.ENGINE, run.silence_ms())
+            self._check_withdrawn(state, name)
+            watch.wait_for(watchdog.ENGINE, state.silence_timeout_ms())
         raise errors.StreamCut(
-            f"{name}: ended after position {run.sequence.delivered}"
+            f"{name}: ended after position {state.sequence.delivered}"
         )
 
-    async def _pass_on(self, run, name, event, sink):
-        if run.seen_here == 0:
-            first = self._node.clock.now() - run.started
-            if run.first_ms is None:
-                run.first_ms = first
+    async def _forward_event(self, state, name, event, sink):
+        if state.attempt_events == 0:
+            first = self._node.clock.now() - state.started_ms
+            if state.first_ms is None:
+                state.first_ms = first
             metrics.observe_ms(
-                "first_token", first, work_class=run.work.asked.class_name
+                "first_token", first, work_class=state.work.context.class_name
             )
-            self._loads.remember_prefix(name, run.work.prompt)
-        run.seen_here += 1
-        run.verdict = verdicts.Verdict.RAN
-        run.keep(event, self._node.settings.limits.resume_bytes)
+            self._loads.record_prefixes(name, state.work.prompt)
+        state.attempt_events += 1
+        state.verdict = verdicts.Verdict.RAN
+        state.keep_for_resume(event, self._node.settings.limits.resume_bytes)
         await sink.send(event.raw, name)
 
-    def _say_done(self, run, name, started):
+    def _record_answer(self, state, name, started):
         took = self._node.clock.now() - started
         gap = None
-        if run.seen_here > 2:
-            gap = took / (run.seen_here - 1)
-            run.gap_ms = gap
+        if state.attempt_events > 2:
+            gap = took / (state.attempt_events - 1)
+            state.gap_ms = gap
             metrics.observe_ms(
-                "token_gap", gap, work_class=run.work.asked.class_name
+                "token_gap", gap, work_class=state.work.context.class_name
             )
-        self._loads.worked(name, gap)
-        metrics.count("answered", work_class=run.work.asked.class_name)
+        self._loads.record_answer(name, gap)
+        metrics.count("answered", work_class=state.work.context.class_name)
         _log.info(
             "answered whole",
-            request=run.work.asked.request_id,
+            request=state.work.context.request_id,
             endpoint=name,
-            position=run.sequence.delivered,
+            position=state.sequence.delivered,
         )
 
-    def _check_leaving(self, run, name):
+    def _check_withdrawn(self, state, name):
         endpoint = self._loads.endpoint(name)
         if endpoint is not None and endpoint.state != "withdrawn":
             return
-        others = self._loads.usable("engine", run.work.model, {name})
+        others = self._loads.usable("engine", state.work.model, {name})
         if others:
-            raise _Moved
+            raise _EngineWithdrawn
 
-    async def _fail_status(self, name, answer):
+    async def _raise_for_status(self, name, answer):
         await answer.aread()
         if 400 <= answer.status_code < 500:
             raise errors.BadRequest(
@@ -294,20 +302,20 @@
             )
         raise errors.EndpointFailed(f"{name}: {answer.status_code}")
 
-    async def _prefill(self, run, prefill_id, headers):
+    async def _prefill(self, state, prefill_id, headers):
         """Have the prompt worked off at another engine, if that works."""
-        run.engine = prefill_id
+        state.engine_id = prefill_id
         endpoint = self._endpoint(prefill_id)
-        self._loads.sent(prefill_id, progress.prompt_tokens(run.work))
+        self._loads.record_sent(prefill_id, progress.prompt_tokens(state.work))
         try:
             request = self._http.build_request(
                 "POST",
                 f"http://{endpoint.address}/kv/prefill",
-                content=run.work.raw,
+                content=state.work.raw,
                 headers=headers,
             )
             answer = await attempt.call(
-                self._http, prefill_id, request, run.silence_ms()
+                self._http, prefill_id, request, state.silence_timeout_ms()
             )
             handle = answer.json()["handle"]
         except (ValueError, KeyError, TypeError) as exc:
@@ -315,7 +323,7 @@
                 f"{prefill_id}: no handle in the answer"
             ) from exc
         finally:
-            self._loads.ended(prefill_id)
+            self._loads.record_end(prefill_id)
         headers["kv-import"] = f"{endpoint.address}#{handle}"
 
     def _endpoint(self, name):
@@ -326,67 +334,67 @@
             )
         return endpoint
 
-    def _headers(self, run):
-        asked = run.work.asked
+    def _headers(self, state):
+        context = state.work.context
         headers = {
             "content-type": "application/json",
-            "x-request-id": asked.request_id,
-            "priority": str(asked.work_class.priority),
+            "x-request-id": context.request_id,
+            "priority": str(context.work_class.priority),
         }
-        if asked.trace:
-            headers["traceparent"] = asked.trace
-        if run.sequence.delivered:
-            headers["resume-after"] = str(run.sequence.delivered)
+        if context.trace:
+            headers["traceparent"] = context.trace
+        if state.sequence.delivered:
+            headers["resume-after"] = str(state.sequence.delivered)
         return headers
 
-    async def _after_failure(self, run, exc):
+    async def _after_failure(self, state, exc):
         """Prepare the next attempt, or raise the final answer."""
-        name = run.engine
+        name = state.engine_id
         if isinstance(exc, (errors.NotRunError, errors.CallerTooSlow)):
             raise exc
-        run.attempts += 1
-        run.failed.add(name)
-        run.verdict = verdicts.worst(run.verdict, exc.verdict)
+        state.attempts += 1
+        state.failed_ids.add(name)
+        state.verdict = verdicts.worst(state.verdict, exc.verdict)
         ran = exc.verdict is not verdicts.Verdict.NOT_RUN
         if ran:
-            self._loads.failed(name)
-            await self._guard.after_failure(
-                run.work.digest,
-                run.work.asked.request_id,
+            self._loads.record_failure(name)
+            await self._guard.record_failure(
+                state.work.digest,
+                state.work.context.request_id,
                 name,
-                strong=run.seen_here == 0,
+                strong=state.attempt_events == 0,
             )
         _log.warning(
             "an engine broke off",
-            request=run.work.asked.request_id,
+            request=state.work.context.request_id,
             endpoint=name,
-            position=run.sequence.delivered,
+            position=state.sequence.delivered,
             error=exc.message,
         )
-        if run.attempts >= ATTEMPTS:
-            raise self._given_up(run, exc)
-        await anyio.sleep(clock.seconds(BACKOFF_MS) * (run.attempts - 1))
-        started = run.sequence.delivered > run.work.delivered
-        spends = ran and not started
-        budget_of_class = self._budgets[run.work.asked.class_name]
-        if spends and not budget_of_class.spend():
-            raise self._given_up(run, exc)
-
-    def _given_up(self, run, exc):
-        if run.sequence.delivered:
-            return errors.StreamCut(exc.message, run.verdict, 1_000)
-        return errors.EndpointFailed(exc.message, run.verdict, 1_000)
-
-    def _say_choice(self, run, plan):
+        if state.attempts >= MAX_ATTEMPTS:
+            raise self._final_error(state, exc)
+        await anyio.sleep(clock.seconds(BACKOFF_MS) * (state.attempts - 1))
+        started = state.sequence.delivered > state.work.delivered
+        spends_budget = ran and not started
+        budget = self._budget_by_class[state.work.context.class_name]
+        if spends_budget and not budget.spend():
+            raise self._final_error(state, exc)
+
+    def _final_error(self, state, exc):
+        if state.sequence.delivered:
+            return errors.StreamCut(exc.message, state.verdict, 1_000)
+        return errors.EndpointFailed(exc.message, state.verdict, 1_000)
+
+    def _log_choice(self, state, plan):
         _log.info(
             "chose an engine",
-            request=run.work.asked.request_id,
-            work_class=run.work.asked.class_name,
+            request=state.work.context.request_id,
+            work_class=state.work.context.class_name,
             endpoint=plan.decode.id,
             prefill=plan.prefill_id or "-",
             score=f"{plan.decode.score:.2f}",
             first_ms=f"{plan.decode.first_ms:.0f}",
             gap_ms=f"{plan.decode.between_ms:.1f}",
-            attempt=run.attempts + 1,
+            attempt=state.attempts + 1,
             why=plan.decode.reason,
         )
--- a/clementinewall/entry/outcomes.py
+++ b/clementinewall/entry/outcomes.py
@@ -8,7 +8,7 @@
 import typing
 
 
-class Outcome(typing.NamedTuple):
+class OutcomeCounts(typing.NamedTuple):
     """The counts of one model since this process started."""
 
     offered: int = 0
@@ -24,7 +24,7 @@
 
     def add(self, model, is_good):
         """Count one request that ended."""
-        known = self.by_model.get(model, Outcome())
-        self.by_model[model] = Outcome(
+        known = self.by_model.get(model, OutcomeCounts())
+        self.by_model[model] = OutcomeCounts(
             known.offered + 1, known.good + bool(is_good)
         )
--- a/clementinewall/entry/partition.py
+++ b/clementinewall/entry/partition.py
@@ -18,14 +18,14 @@
 _log = logs.PartLog("booking")
 
 # A quiet partition is asked for news this often at least.
-WAIT_MS = 5_000
-PAUSE_MS = 200
-READ_BACK_MS = 3_000
-BATCH_LIMIT = 200
-OUTCOMES_LIMIT = 10_000
+READ_WAIT_MS = 5_000
+RETRY_DELAY_MS = 200
+READ_BACK_TIMEOUT_MS = 3_000
+MAX_BATCH = 200
+MAX_PENDING_OUTCOMES = 10_000
 # The least time between two appends of one partition.  It bounds the load
 # on the log.
-SPACING_MS = 100
+APPEND_INTERVAL_MS = 100
 
 
 class Partition:
@@ -36,8 +36,8 @@
         self._stream = bookings.stream_name(number)
         self._node = node
         self._intents = collections.deque()
-        self._outcomes = collections.deque(maxlen=OUTCOMES_LIMIT)
-        self._work = anyio.Event()
+        self._outcomes = collections.deque(maxlen=MAX_PENDING_OUTCOMES)
+        self._has_pending = anyio.Event()
         self._changed = anyio.Event()
         self.table = bookings.Table(node.settings.limits.remembered_keys)
         self.caught_up = False
@@ -50,7 +50,7 @@
             group.start_soon(self._follow)
             group.start_soon(self._commit)
 
-    def kept(self, key):
+    def booking(self, key):
         """Return what is remembered of the key, or ``None``."""
         return self.table.booking_by_key.get(key)
 
@@ -81,56 +81,58 @@
 
         :raises LogUnavailable: the intent is given up and never acted on.
         """
-        waiter = _Waiter(intent)
-        self._intents.append(waiter)
-        self._work.set()
-        end = self._node.clock.now() + READ_BACK_MS
+        item = _PendingIntent(intent)
+        self._intents.append(item)
+        self._has_pending.set()
+        end = self._node.clock.now() + READ_BACK_TIMEOUT_MS
         while True:
-            kept = self.kept(intent.key)
-            if kept is not None and kept.state != "not_run":
-                return kept
+            booking = self.booking(intent.key)
+            if booking is not None and booking.state != "not_run":
+                return booking
             left = end - self._node.clock.now()
-            if left <= 0 or waiter.refused:
-                raise self._give_up(waiter)
+            if left <= 0 or item.refused:
+                raise self._give_up(item)
             await self.wait_change(left)
 
-    def conclude(self, outcome):
+    def record_outcome(self, outcome):
         """Commit the outcome of an intent of ours when the log allows."""
         self._outcomes.append(outcome)
-        self._work.set()
+        self._has_pending.set()
 
     async def flush(self):
         """Wait until the outcomes are committed, but not for long."""
-        with anyio.move_on_after(clock.seconds(READ_BACK_MS)):
+        with anyio.move_on_after(clock.seconds(READ_BACK_TIMEOUT_MS)):
             while self._outcomes or self._committing:
-                await anyio.sleep(clock.seconds(SPACING_MS))
+                await anyio.sleep(clock.seconds(APPEND_INTERVAL_MS))
 
-    def _give_up(self, waiter):
+    def _give_up(self, item):
         """Abandon an intent that may or may not be in the log.
 
         From here on this process never dispatches it, and nobody else may,
         so "not run" is true.  If it did reach the log, the outcome that is
         committed once the log is back frees the key for a resend.
         """
-        intent = waiter.intent
-        waiter.abandoned = True
-        if waiter.sent:
-            self.conclude(bookings.Outcome(intent.id, intent.key, "not_run"))
+        intent = item.intent
+        item.abandoned = True
+        if item.sent:
+            self.record_outcome(
+                bookings.Outcome(intent.id, intent.key, "not_run")
+            )
         return errors.LogUnavailable(
             "the log did not take the booking", retry_after_ms=1_000
         )
 
     async def _follow(self):
         while True:
-            wait_ms = WAIT_MS if self.caught_up else 0
+            wait_ms = READ_WAIT_MS if self.caught_up else 0
             try:
                 batch = await self._node.log.read(
                     self._stream, self.table.next, wait_ms
                 )
             except errors.ClementinewallError as exc:
                 self.failed = exc
-                self._wake()
-                await anyio.sleep(clock.seconds(PAUSE_MS))
+                self._notify_changed()
+                await anyio.sleep(clock.seconds(RETRY_DELAY_MS))
                 continue
             self.failed = None
             self.table.begin(batch.first)
@@ -138,58 +140,58 @@
                 self.table.apply(offset, record)
             if len(batch.records) < client.MAX_READ_RECORDS:
                 self.caught_up = True
-            self._wake()
+            self._notify_changed()
 
-    def _wake(self):
+    def _notify_changed(self):
         changed, self._changed = self._changed, anyio.Event()
         changed.set()
 
     async def _commit(self):
         while True:
-            await self._work.wait()
-            self._work = anyio.Event()
+            await self._has_pending.wait()
+            self._has_pending = anyio.Event()
             while self._intents or self._outcomes:
-                await self._commit_some()
-                await anyio.sleep(clock.seconds(SPACING_MS))
-
-    async def _commit_some(self):
-        waiters = _take(self._intents)
-        waiters = [waiter for waiter in waiters if not waiter.abandoned]
-        outcomes = _take(self._outcomes)
-        if not waiters and not outcomes:
+                await self._commit_batch()
+                await anyio.sleep(clock.seconds(APPEND_INTERVAL_MS))
+
+    async def _commit_batch(self):
+        pending = _take_batch(self._intents)
+        pending = [item for item in pending if not item.abandoned]
+        outcomes = _take_batch(self._outcomes)
+        if not pending and not outcomes:
             return
         commit = bookings.Commit(
             self._node.boot,
-            tuple(waiter.intent for waiter in waiters),
+            tuple(item.intent for item in pending),
             tuple(outcomes),
         )
-        for waiter in waiters:
-            waiter.sent = True
+        for item in pending:
+            item.sent = True
         self._committing = True
         try:
             await self._node.log.append(self._stream, commit)
         except errors.LogUnavailable:
-            for waiter in waiters:
-                waiter.sent = False
-                waiter.refused = True
-            self._wake()
-            self._retry(outcomes)
-            await anyio.sleep(clock.seconds(PAUSE_MS))
+            for item in pending:
+                item.sent = False
+                item.refused = True
+            self._notify_changed()
+            self._requeue(outcomes)
+            await anyio.sleep(clock.seconds(RETRY_DELAY_MS))
         except errors.AppendUnknown:
             # Outcomes may be appended twice without harm: only the first
             # one that ends an open intent counts.
-            self._retry(outcomes)
-            await anyio.sleep(clock.seconds(PAUSE_MS))
+            self._requeue(outcomes)
+            await anyio.sleep(clock.seconds(RETRY_DELAY_MS))
         finally:
             self._committing = False
         if outcomes and self.failed is not None:
             _log.warning("outcomes wait for the log", count=len(outcomes))
 
-    def _retry(self, outcomes):
+    def _requeue(self, outcomes):
         self._outcomes.extendleft(reversed(outcomes))
 
 
-class _Waiter:
+class _PendingIntent:
     """An intent on its way into the log."""
 
     def __init__(self, intent):
@@ -199,6 +201,6 @@
         self.abandoned = False
 
 
-def _take(queue):
-    count = min(BATCH_LIMIT, len(queue))
+def _take_batch(queue):
+    count = min(MAX_BATCH, len(queue))
     return [queue.popleft() for _ in range(count)]
--- a/clementinewall/entry/program.py
+++ b/clementinewall/entry/program.py
@@ -11,7 +11,7 @@
 from clementinewall.entry import calls
 from clementinewall.entry import crash_guard
 from clementinewall.entry import loads
-from clementinewall.entry import model
+from clementinewall.entry import model_relay
 from clementinewall.entry import shares
 from clementinewall import errors
 from clementinewall import lifecycle
@@ -32,15 +32,15 @@
         self.node = node.Node(life, "entry")
         self.loads = loads.Loads(self.node)
         guard = crash_guard.CrashGuard(self.node, self.loads)
-        known_shares = shares.Shares(self.node.clock.now)
+        caller_shares = shares.Shares(self.node.clock.now)
         self.calls = calls.Calls(self.node, self.loads, guard)
-        self.relay = model.ModelRelay(
-            self.node, self.loads, known_shares, guard
+        self.relay = model_relay.ModelRelay(
+            self.node, self.loads, caller_shares, guard
         )
         self.callers = app.CallerApp(
             self.node, self.loads, self.relay, self.calls
         )
-        self._homed = 0
+        self._owned_bookings = 0
 
     async def run(self):
         """Serve until asked to stop and drained."""
@@ -49,7 +49,7 @@
             [
                 *self.node.control_routes(),
                 routing.Route(
-                    calls.HOME_PATH, self._on_booking, methods=["POST"]
+                    calls.BOOKINGS_PATH, self._on_booking, methods=["POST"]
                 ),
                 routing.Route(planner.OUTCOMES_PATH, self._on_outcomes),
             ]
@@ -84,9 +84,9 @@
         # Callers kept the answer that names this entry for so long, and
         # still come with new work in good faith.
         await anyio.sleep(clock.seconds(limits.keep_addresses_ms))
-        while self.callers.open or self._homed:
+        while self.callers.open_requests or self._owned_bookings:
             if self.node.clock.now() > end:
-                _log.warning("cut at the end", open=self.callers.open)
+                _log.warning("cut at the end", open=self.callers.open_requests)
                 return lifecycle.Event.OUT_OF_TIME
             await anyio.sleep(clock.seconds(DRAIN_POLL_MS))
         # What is read from now on would be cut by the end of the process.
@@ -110,11 +110,11 @@
         if not self.node.is_ready():
             raise errors.NotReady("no configuration is known yet")
         self.node.check_time(call.deadline_ms)
-        self._homed += 1
+        self._owned_bookings += 1
         try:
-            answer = await self.calls.run_as_home(call)
+            answer = await self.calls.run_as_owner(call)
         finally:
-            self._homed -= 1
+            self._owned_bookings -= 1
         return responses.JSONResponse(_schema.plain(answer))
 
 
--- a/clementinewall/entry/progress.py
+++ b/clementinewall/entry/progress.py
@@ -8,63 +8,65 @@
 import json
 
 from clementinewall.endpoints import sse
-from clementinewall.entry import work as work_module
+from clementinewall.entry import request_parsing
 from clementinewall.policy import routing
 from clementinewall import verdicts
 
 CHARS_PER_TOKEN = 4
 # An engine that says nothing for so many times its target is stuck.
-SILENCE_FACTOR = 8
-SILENCE_FLOOR_MS = 2_000
+SILENCE_TARGETS = 8
+BASE_SILENCE_MS = 2_000
 
 
-class Run:
+class RequestState:
     """One request on its way to its whole answer."""
 
     def __init__(self, work, now):
         """Begin at ``now`` after the position that the caller has."""
         self.work = work
         self.sequence = sse.Sequence(work.delivered)
-        self.started = now
-        self.failed = set()
+        self.started_ms = now
+        self.failed_ids = set()
         self.attempts = 0
         # The engine that the present attempt talks to.
-        self.engine = None
+        self.engine_id = None
         # Events passed on from the engine of the present attempt.
-        self.seen_here = 0
+        self.attempt_events = 0
         self.first_ms = None
         self.gap_ms = None
         self.verdict = verdicts.Verdict.NOT_RUN
-        self._kept = []
-        self._kept_bytes = 0
+        self._resume_events = []
+        self._resume_bytes = 0
 
-    def keep(self, event, limit):
+    def keep_for_resume(self, event, limit):
         """Keep an event for a resumption elsewhere, up to ``limit`` bytes."""
-        if self._kept_bytes + len(event.raw) <= limit:
-            self._kept.append(event)
-            self._kept_bytes += len(event.raw)
+        if self._resume_bytes + len(event.raw) <= limit:
+            self._resume_events.append(event)
+            self._resume_bytes += len(event.raw)
 
     def body(self):
         """Return the body for an engine, unchanged where that is possible."""
         work = self.work
-        if work.streamed and not self._kept:
+        if work.streamed and not self._resume_events:
             return work.raw
         body = {**work.body, "stream": True}
-        if self._kept:
-            text = "".join(text_of(event) or "" for event in self._kept)
+        if self._resume_events:
+            text = "".join(
+                text_of(event) or "" for event in self._resume_events
+            )
             body["resume_text"] = text
         return json.dumps(body).encode()
 
-    def silence_ms(self):
+    def silence_timeout_ms(self):
         """Return how long the engine may say nothing before it is left."""
-        work_class = self.work.asked.work_class
-        if self.seen_here == 0:
-            return SILENCE_FACTOR * work_class.first_ms + SILENCE_FLOOR_MS
-        return SILENCE_FACTOR * work_class.gap_ms + SILENCE_FLOOR_MS
+        work_class = self.work.context.work_class
+        if self.attempt_events == 0:
+            return SILENCE_TARGETS * work_class.first_ms + BASE_SILENCE_MS
+        return SILENCE_TARGETS * work_class.gap_ms + BASE_SILENCE_MS
 
     def is_good(self):
         """Tell whether the answer met its class's targets."""
-        work_class = self.work.asked.work_class
+        work_class = self.work.context.work_class
         return (
             self.sequence.finished
             and self.first_ms is not None
@@ -73,9 +75,9 @@
         )
 
 
-def wanted(work):
+def routing_work(work):
     """Return the work as the routing policy sees it."""
-    work_class = work.asked.work_class
+    work_class = work.context.work_class
     return routing.Work(
         prompt_tokens(work), work_class.first_ms, work_class.gap_ms
     )
@@ -86,9 +88,9 @@
     return max(1, len(work.prompt) // CHARS_PER_TOKEN)
 
 
-def tokens(work):
+def total_tokens(work):
     """Return the estimated tokens of prompt and answer together."""
-    limit = work.body.get("max_tokens", work_module.DEFAULT_MAX_TOKENS)
+    limit = work.body.get("max_tokens", request_parsing.DEFAULT_MAX_TOKENS)
     return prompt_tokens(work) + int(limit)
 
 
--- a/clementinewall/entry/work.py
+++ b/clementinewall/entry/request_parsing.py
@@ -20,10 +20,10 @@
 TRACE_HEADER = "traceparent"
 DEFAULT_MAX_TOKENS = 16
 MAX_TOKENS = 100_000
-ID_LIMIT = 200
+MAX_ID_CHARS = 200
 
 
-class Asked(typing.NamedTuple):
+class RequestContext(typing.NamedTuple):
     """Who asks for what class of work, under which id."""
 
     request_id: str
@@ -36,7 +36,7 @@
 class ModelWork(typing.NamedTuple):
     """A request for a model's answer."""
 
-    asked: Asked
+    context: RequestContext
     path: str
     model: str
     prompt: str
@@ -48,7 +48,7 @@
     digest: str
 
 
-def read_asked(request, view, kind):
+def read_context(request, view, kind):
     """Return the class and caller of the request.
 
     :raises UnknownClass: the class is not published.
@@ -56,8 +56,8 @@
     headers = request.headers
     request_id = headers.get(REQUEST_ID_HEADER) or secrets.token_hex(8)
     name, work_class = _class_of(headers.get(CLASS_HEADER), view, kind)
-    return Asked(
-        request_id[:ID_LIMIT],
+    return RequestContext(
+        request_id[:MAX_ID_CHARS],
         _caller_of(request),
         name,
         work_class,
@@ -65,7 +65,7 @@
     )
 
 
-def read_model_work(request, asked, body, raw):
+def read_model_work(request, context, body, raw):
     """Return the model work that the body asks for.
 
     :raises BadRequest: a member is missing or has the wrong type.
@@ -81,16 +81,16 @@
     if not isinstance(body.get("stream", False), bool):
         raise errors.BadRequest("stream: allowed is true or false")
     path = request.url.path
-    digest = hashlib.blake2b(asked.caller.encode() + raw, digest_size=12)
+    digest = hashlib.blake2b(context.caller.encode() + raw, digest_size=12)
     return ModelWork(
-        asked,
+        context,
         path,
         model,
         _prompt_of(path, body),
         body,
         raw,
         body.get("stream", False),
-        _position(request.headers.get(POSITION_HEADER)),
+        _read_position(request.headers.get(POSITION_HEADER)),
         request.headers.get(STREAM_HEADER),
         digest.hexdigest(),
     )
@@ -102,8 +102,10 @@
     :raises BadRequest: it is too long.
     """
     key = request.headers.get(KEY_HEADER)
-    if key is not None and len(key) > ID_LIMIT:
-        raise errors.BadRequest(f"{KEY_HEADER} is over {ID_LIMIT} characters")
+    if key is not None and len(key) > MAX_ID_CHARS:
+        raise errors.BadRequest(
+            f"{KEY_HEADER} is over {MAX_ID_CHARS} characters"
+        )
     return key or None
 
 
@@ -127,7 +129,7 @@
     """Return a name for the caller that is safe to log."""
     given = request.headers.get(CALLER_HEADER)
     if given:
-        return given[:ID_LIMIT]
+        return given[:MAX_ID_CHARS]
     secret = request.headers.get("authorization")
     if secret:
         # The bearer token is the caller's secret, so only a digest of it
@@ -150,7 +152,7 @@
     return prompt
 
 
-def _position(text):
+def _read_position(text):
     if text is None:
         return 0
     if not text.isdigit() or len(text) > 17:
--- a/clementinewall/entry/shares.py
+++ b/clementinewall/entry/shares.py
@@ -7,8 +7,8 @@
 import math
 
 HALF_LIFE_MS = 10_000
-CALLERS_LIMIT = 2_000
-FORGET_BELOW = 1.0
+MAX_CALLERS = 2_000
+MIN_TOKENS = 1.0
 
 
 class Shares:
@@ -17,7 +17,7 @@
     def __init__(self, now):
         """Start empty; ``now`` gives milliseconds."""
         self._now = now
-        self._at = now()
+        self._decayed_at = now()
         self._tokens_by_caller = {}
 
     def add(self, caller, tokens):
@@ -25,10 +25,10 @@
         self._decay()
         known = self._tokens_by_caller
         known[caller] = known.get(caller, 0.0) + tokens
-        if len(known) > CALLERS_LIMIT:
+        if len(known) > MAX_CALLERS:
             del known[min(known, key=known.get)]
 
-    def of(self, caller):
+    def share(self, caller):
         """Return the caller's share and the number of callers."""
         self._decay()
         total = sum(self._tokens_by_caller.values())
@@ -38,13 +38,13 @@
         return self._tokens_by_caller.get(caller, 0.0) / total, count
 
     def _decay(self):
-        passed = self._now() - self._at
+        passed = self._now() - self._decayed_at
         if passed < HALF_LIFE_MS / 20:
             return
-        self._at += passed
+        self._decayed_at += passed
         factor = math.pow(0.5, passed / HALF_LIFE_MS)
         self._tokens_by_caller = {
             caller: tokens * factor
             for caller, tokens in self._tokens_by_caller.items()
-            if tokens * factor >= FORGET_BELOW
+            if tokens * factor >= MIN_TOKENS
         }
--- a/clementinewall/entry/watchdog.py
+++ b/clementinewall/entry/watchdog.py
@@ -11,7 +11,7 @@
 
 from clementinewall import clock
 
-LOOK_MS = 200
+CHECK_INTERVAL_MS = 200
 ENGINE = "engine"
 CALLER = "caller"
 
@@ -24,18 +24,18 @@
         self.scope = anyio.CancelScope()
         self.expired = None
         self._now = now
-        self._what = None
-        self._until = None
+        self._awaited = None
+        self._deadline = None
 
-    def wait_for(self, what, limit_ms):
+    def wait_for(self, awaited, limit_ms):
         """Note what is waited for from now on, and for how long."""
-        self._what = what
-        self._until = self._now() + limit_ms
+        self._awaited = awaited
+        self._deadline = self._now() + limit_ms
 
     def check(self):
         """Cancel the stream if its present wait is over its limit."""
-        if self._until is not None and self._now() > self._until:
-            self.expired = self._what
+        if self._deadline is not None and self._now() > self._deadline:
+            self.expired = self._awaited
             self.scope.cancel()
 
 
@@ -52,7 +52,7 @@
         while True:
             for watch in list(self._watches):
                 watch.check()
-            await anyio.sleep(clock.seconds(LOOK_MS))
+            await anyio.sleep(clock.seconds(CHECK_INTERVAL_MS))
 
     @contextlib.contextmanager
     def watch(self):
--- a/tests/entry/test_crash_guard.py
+++ b/tests/entry/test_crash_guard.py
@@ -17,7 +17,7 @@
 class _Loads:
     """The endpoints of one service, in the order of the real loads."""
 
-    def by_preference(self, kind, name, text):
+    def preference_order(self, kind, name, text):
         """Return all engines; all entries know the same ones."""
         return members.rendezvous(f"{name}|{text}", ENGINES)
 
@@ -32,7 +32,7 @@
             self.crashes.add(digest, engine)
 
 
-class OnlyChoiceTest(unittest.TestCase):
+class RemainingEndpointTest(unittest.TestCase):
     """A caller sends crashing work to all addresses together.
 
     The copies begin at one of the two engines that equal work prefers.
@@ -46,7 +46,7 @@
         """Return what an entry that knows of ``crashed`` chooses."""
         node = _Node([(work.digest, engine) for engine in crashed])
         guard = crash_guard.CrashGuard(node, _Loads())
-        return guard.only_choice(work, set(), verdicts.Verdict.NOT_RUN)
+        return guard.remaining_endpoint(work, set(), verdicts.Verdict.NOT_RUN)
 
     def test_copies_that_know_different_crashes_meet(self):
         """Each of the two crashed ones leads to the other, to no third."""
@@ -54,8 +54,8 @@
             work = crash_guard.Work(
                 f"{number:02x}", "engine", "m", f"{number}"
             )
-            order = _Loads().by_preference(work.kind, work.name, work.text)
-            pair = order[: loads.PREFERRED]
+            order = _Loads().preference_order(work.kind, work.name, work.text)
+            pair = order[: loads.PREFERRED_ENDPOINTS]
             touched = {self.choice(work, [crashed]) for crashed in pair}
             self.assertEqual(set(pair), touched)
 
@@ -67,8 +67,8 @@
     def test_the_other_one_failed_too(self):
         """An entry doesn't go on to a third engine on its own."""
         work = crash_guard.Work("00", "engine", "m", "text")
-        first, second = _Loads().by_preference("engine", "m", "text")[:2]
+        first, second = _Loads().preference_order("engine", "m", "text")[:2]
         node = _Node([(work.digest, first)])
         guard = crash_guard.CrashGuard(node, _Loads())
         with self.assertRaises(errors.NoEndpoint):
-            guard.only_choice(work, {second}, verdicts.Verdict.NOT_RUN)
+            guard.remaining_endpoint(work, {second}, verdicts.Verdict.NOT_RUN)
