--- a/clementinewall/gateway/cache_holders.py
+++ b/clementinewall/gateway/cache_holders.py
@@ -1,10 +1,10 @@
-"""Which engine read the beginning of a prompt last, wherever it is.
+"""Which engine of the deployment last prefilled a prompt prefix.
 
-Prompts share long beginnings, and engines keep for some seconds what they
-read.  Engines of other cells keep them too, and a long beginning is fetched in
-less time than it is read.  So gateways tell each other, all over the
-deployment, which long beginnings engines read for them.  What is told may be
-out of date: then the engine reads what it cannot fetch.
+Prompts share long prefixes, which engines cache for some seconds.  Fetching a
+long prefix from another engine, also one of another cell, takes less time than
+prefilling it, so gateways announce across the deployment which long prefixes
+their engines prefilled.  An announcement may be out of date: then the engine
+prefills what it cannot fetch.
 """
 
 import collections
@@ -12,15 +12,15 @@
 
 from clementinewall import clock
 
-# Shorter beginnings are read in less time than a fetch takes to begin.
+# Shorter prefixes are prefilled in less time than a fetch takes to start.
 MIN_PREFIX_TOKENS = 1_000
-# Caches drop what isn't used again soon after that time.
+# Caches evict unused parts soon after this time.
 RETENTION_MS = 8_000
 MAX_PREFIXES = 20_000
 
 
 class CacheHolder(typing.NamedTuple):
-    """The engine that read a beginning of so many tokens at ``read_at``."""
+    """The engine that prefilled ``tokens`` of a prefix at ``prefilled_at``."""
 
     endpoint_id: str
     tokens: int
@@ -28,24 +28,24 @@
 
 
 class CacheHolders:
-    """Finds keepers by the last part of a beginning."""
+    """Finds cache holders by the last part of a prompt prefix."""
 
     def __init__(self, now):
-        """Know of none."""
+        """Start empty."""
         self._now = now
         self._holder_by_part_id = collections.OrderedDict()
         self._own = collections.deque()
 
     def record(self, endpoint_id, parts):
-        """Note a beginning that an engine read for this gateway."""
+        """Record a prefix that an engine prefilled for this gateway."""
         holder = self.record_peer(endpoint_id, parts)
         if holder is not None:
             self._own.append((parts[-1][0], holder))
 
     def record_peer(self, endpoint_id, parts):
-        """Note a beginning that an engine read; ``parts`` as (id, tokens).
+        """Record a prefilled prefix, given as parts of (id, tokens).
 
-        Return the keeper, or ``None`` for what is too short to fetch.
+        Return the cache holder, or ``None`` if it is too short to fetch.
         """
         tokens = sum(size for _, size in parts)
         if tokens < MIN_PREFIX_TOKENS:
@@ -61,7 +61,7 @@
             self._holder_by_part_id.popitem(last=False)
 
     def find(self, parts):
-        """Return the keeper of a prompt's shared parts, or ``None``."""
+        """Return the holder of a prompt's shared parts, or ``None``."""
         if not parts:
             return None
         holder = self._holder_by_part_id.get(parts[-1].id)
@@ -70,7 +70,7 @@
         return holder
 
     def message(self, last_ms):
-        """Return what was noted in the last ``last_ms``, as plain data."""
+        """Return what was recorded in the last ``last_ms``, as plain data."""
         now = self._now()
         while self._own and now - self._own[0][1].prefilled_at > RETENTION_MS:
             self._own.popleft()
@@ -86,9 +86,9 @@
         ]
 
     def merge(self, rows):
-        """Take in what another gateway noted.
+        """Merge what another gateway recorded.
 
-        :raises TypeError, ValueError: it is no such message.
+        :raises TypeError, ValueError: if the rows are malformed.
         """
         now = self._now()
         for part, endpoint_id, tokens, age in rows:
--- a/clementinewall/gateway/cache_sync.py
+++ b/clementinewall/gateway/cache_sync.py
@@ -1,11 +1,11 @@
-"""Keeping what is believed of the engines' caches true, with their own words.
-
-A gateway that starts knows nothing of the caches, so it asks each engine of
-its cell once for all that it keeps.  Later on gateways tell each other what
-engines read for them, but not what engines drop: of the gateways that share an
-engine one follows its cache and tells the others.  Which one is told by a hash
-that all compute alike; two that follow cost some calls, none costs a belief
-that grows old.
+"""Synchronisation of a gateway's cache views with the engines.
+
+A gateway that starts knows nothing of the caches, so it requests the full list
+of cached parts from each engine of its cell.  Later on gateways announce what
+engines prefill for them, but not what engines evict: one of the gateways that
+share an engine polls its cache and forwards the changes.  A hash that all
+compute alike selects it.  If views differ and two gateways poll, that costs
+some calls; if none does, the cache view grows stale.
 """
 
 import math
@@ -24,38 +24,38 @@
 
 _log = logs.PartLog("cache")
 
-# How often a gateway that starts looks whether it knows enough to ask.
+# The interval at which a starting gateway checks whether it can ask engines.
 START_POLL_INTERVAL_MS = 20
-# How often engines are looked for that weren't asked yet, and how often the
-# caches that this gateway follows are asked for their changes.
+# The intervals at which engines that were not asked yet are looked up, and at
+# which an engine that this gateway polls is asked for changes.
 SCAN_INTERVAL_MS = 250
 POLL_INTERVAL_MS = 500
-# How long an engine may wait for a change before it answers that there is
-# none, and how long its answer is awaited.
+# How long an engine may wait for a change before it answers without one, and
+# the time-out for its answer.
 CHANGE_WAIT_MS = 250
 ANSWER_TIMEOUT_MS = 750
-# An engine that doesn't tell its cache, or not in time, is asked again after
-# a pause; one that doesn't offer it isn't.
+# An engine that fails to report its cache in time is asked again after a
+# delay; one that does not support the call is not.
 RETRY_DELAY_MS = 3_000
 UNSUPPORTED_STATUSES = (404, 405, 501)
 
 
 class _Unsupported(errors.BadRecord):
-    """The engine has no such call."""
+    """The engine does not support the call."""
 
 
 class _Cursor:
-    """How far the changes of one engine's cache are known."""
+    """The position up to which one engine's cache changes are known."""
 
     def __init__(self):
         self.epoch = None
         self.next = None
-        self.due_at = 0
+        self.next_request_at = 0
         self.is_asking = False
 
 
 class CacheSync:
-    """Asks engines for what they keep, and follows some of them."""
+    """Requests lists of cached parts, and polls some engines for changes."""
 
     def __init__(
         self,
@@ -67,7 +67,7 @@
         group,
         now,
     ):
-        """Use the gateway's parts; ``group`` runs the questions."""
+        """Use the gateway's components; ``group`` runs the requests."""
         self._ip = settings.ip
         self._fleet_view = fleet_view
         self._endpoints = endpoints
@@ -78,29 +78,29 @@
         self._cursor_by_incarnation = {}
 
     async def run(self):
-        """Ask until cancelled."""
-        # Before the other gateways are known all engines seem to be of the
-        # own cell.
+        """Synchronise until cancelled."""
+        # Until the other gateways are known, all engines seem to belong to
+        # this gateway's cell.
         while not (
             self._fleet_view.is_ready and self._peers.table.is_complete
         ):
             await anyio.sleep(clock.seconds(START_POLL_INTERVAL_MS))
         self._cell_membership.update(self._peers.table.members())
         while True:
-            self._look()
+            self._start_due_requests()
             await anyio.sleep(clock.seconds(SCAN_INTERVAL_MS))
 
-    def _look(self):
-        """Begin the questions that are due."""
+    def _start_due_requests(self):
+        """Start the requests that are due."""
         cursor_by_incarnation = {}
-        followers = self._followers()
+        pollers = self._pollers()
         for state in self._engines():
             incarnation = state.endpoint.incarnation_key
             cursor = self._cursor_by_incarnation.get(incarnation) or _Cursor()
             cursor_by_incarnation[incarnation] = cursor
-            if cursor.is_asking or self._now() < cursor.due_at:
+            if cursor.is_asking or self._now() < cursor.next_request_at:
                 continue
-            if cursor.next is None or self._follows(state, followers):
+            if cursor.next is None or self._is_poller(state, pollers):
                 cursor.is_asking = True
                 self._group.start_soon(self._ask, state, cursor)
         self._cursor_by_incarnation = cursor_by_incarnation
@@ -115,65 +115,67 @@
                 if endpoints_module.is_engine(state):
                     yield state
 
-    def _followers(self):
-        """Return the gateways that share this one's engines."""
-        heard = [sign.ip for sign in self._peers.table.live() if sign.ready]
-        close = [
-            ip for ip in heard if self._cell_membership.is_cell_gateway(ip)
+    def _pollers(self):
+        """Return the gateways that share this one's engines and may poll."""
+        ready_ips = [
+            sign.ip for sign in self._peers.table.live() if sign.ready
         ]
-        return {self._ip, *close}
+        cell_ips = [
+            ip for ip in ready_ips if self._cell_membership.is_cell_gateway(ip)
+        ]
+        return {self._ip, *cell_ips}
 
-    def _follows(self, state, followers):
-        return self._ip == members.rendezvous(state.endpoint.id, followers)[0]
+    def _is_poller(self, state, pollers):
+        return self._ip == members.rendezvous(state.endpoint.id, pollers)[0]
 
     async def _ask(self, state, cursor):
-        """Ask for what changed, or for everything where that isn't known."""
-        cursor.due_at = self._now() + POLL_INTERVAL_MS
+        """Request the changes, or the full list if the position is unknown."""
+        cursor.next_request_at = self._now() + POLL_INTERVAL_MS
         try:
             with anyio.fail_after(clock.seconds(ANSWER_TIMEOUT_MS)):
                 if cursor.next is None:
-                    await self._learn_whole(state, cursor)
+                    await self._apply_full_list(state, cursor)
                 else:
-                    await self._learn_changes(state, cursor)
+                    await self._apply_changes(state, cursor)
         except (client.LinkBroken, TimeoutError, errors.BadRecord) as exc:
-            cursor.due_at = self._now() + RETRY_DELAY_MS
+            cursor.next_request_at = self._now() + RETRY_DELAY_MS
             if isinstance(exc, _Unsupported):
-                cursor.due_at = math.inf
+                cursor.next_request_at = math.inf
             _log.info(
-                "cache not told",
+                "engine did not report its cache",
                 engine=state.endpoint.id,
                 why=getattr(exc, "message", repr(exc)),
             )
         finally:
             cursor.is_asking = False
 
-    async def _learn_whole(self, state, cursor):
+    async def _apply_full_list(self, state, cursor):
         kept = calls.decode_kept_parts(
             await self._body(state, calls.kept_parts())
         )
         dropped = 0
         if cursor.epoch is None:
-            # What peers told since the start may be newer than the list.
+            # What peers sent since the start may be newer than the list.
             self._endpoints.apply_cached_parts(state, kept.parts)
         else:
             dropped = self._endpoints.replace_cache(state, kept.parts)
         cursor.epoch, cursor.next = kept.epoch, kept.next
         _log.info(
-            "cache learned",
+            "cache list applied",
             engine=state.endpoint.id,
             parts=len(kept.parts),
             tokens=sum(part.tokens for part in kept.parts),
             dropped=dropped,
         )
 
-    async def _learn_changes(self, state, cursor):
+    async def _apply_changes(self, state, cursor):
         body = await self._body(
             state, calls.cache_changes(cursor.next, CHANGE_WAIT_MS)
         )
         changes = calls.decode_cache_changes(body)
         if changes.epoch != cursor.epoch or changes.is_gap:
             cursor.next = None
-            cursor.due_at = self._now()
+            cursor.next_request_at = self._now()
             return
         cursor.next = changes.next
         self._endpoints.apply_cache_changes(state, changes.parts)
--- a/clementinewall/gateway/cache_view.py
+++ b/clementinewall/gateway/cache_view.py
@@ -1,22 +1,22 @@
-"""What is believed of the parts of prompts that engines keep.
+"""A gateway's view of the prompt parts in the engines' KV caches.
 
-Beliefs come from three sides: what engines read or fetch, here or for other
-gateways; an engine's list of all that it keeps; and the changes that it tells
-the one gateway that follows it, which passes them on.
+It has three sources: prompts that engines prefill or fetch, for this or other
+gateways; an engine's full list of cached parts; and the changes that an engine
+reports to the one gateway that polls it, which forwards them to the others.
 """
 
 import collections
 import typing
 
-# Parts of which a gateway remembers that several requests may share them.
+# Remembered parts that several requests may share.
 MAX_SHARED_PARTS = 20_000
-# Engines keep parts in blocks of some tokens; a part of which so many are
-# missing is not kept whole, and what follows it is read again.
+# Engines cache parts in blocks of tokens.  A part that lacks a block is
+# incomplete, and the prompt after it is prefilled again.
 CACHE_BLOCK_TOKENS = 64
 
 
 class Change(typing.NamedTuple):
-    """That an engine keeps so many tokens of a part now, 0 if none."""
+    """The number of tokens of a part that an engine now caches, 0 if none."""
 
     endpoint_id: str
     part_id: str
@@ -24,24 +24,24 @@
 
 
 class CacheView:
-    """The parts that one engine is believed to keep, last used at the end."""
+    """The parts assumed to be in one engine's cache, in LRU order."""
 
     def __init__(self):
-        """Begin with none."""
+        """Start empty."""
         self._tokens_by_part_id = collections.OrderedDict()
         self._tokens = 0
 
     @property
     def part_ids(self):
-        """Return the ids of the parts that are kept."""
+        """Return the ids of the cached parts."""
         return set(self._tokens_by_part_id)
 
     def cached_tokens(self, part_id):
-        """Return how many tokens of a part are kept."""
+        """Return how many tokens of a part are cached."""
         return self._tokens_by_part_id.get(part_id, 0)
 
     def put(self, part_id, tokens):
-        """Note how many tokens of a part the engine says it keeps."""
+        """Set how many tokens of a part the engine caches."""
         self._tokens += tokens - self.cached_tokens(part_id)
         if tokens:
             self._tokens_by_part_id[part_id] = tokens
@@ -49,9 +49,9 @@
             self._tokens_by_part_id.pop(part_id, None)
 
     def use(self, parts, capacity):
-        """Note (id, tokens) of a prompt that the engine read or fetched.
+        """Record (id, tokens) of a prompt that was prefilled or fetched.
 
-        Parts that weren't used for longest yield beyond ``capacity`` tokens.
+        Least recently used parts are evicted beyond ``capacity`` tokens.
         """
         for part_id, tokens in parts:
             self.put(part_id, max(tokens, self.cached_tokens(part_id)))
@@ -60,7 +60,7 @@
             self.put(next(iter(self._tokens_by_part_id)), 0)
 
     def cached_prefix_tokens(self, parts):
-        """Return how many leading tokens of a prompt are kept."""
+        """Return how many leading tokens of a prompt are cached."""
         total = 0
         for part in parts:
             kept = min(part.tokens, self.cached_tokens(part.id))
@@ -71,18 +71,18 @@
 
 
 class UnsentChanges:
-    """What was learned from engines' own words and concerns other gateways.
+    """Cache changes reported by engines, to be sent to other gateways.
 
-    Most parts belong to a single request; nobody asks for them again.
+    Parts that belong to a single request, which are most, are left out.
     """
 
     def __init__(self):
-        """Begin with nothing to tell."""
+        """Start without changes."""
         self._shared = collections.OrderedDict()
         self._unsent = []
 
     def record_shared(self, parts):
-        """Note (id, tokens) of parts that several requests may share."""
+        """Record (id, tokens) of parts that several requests may share."""
         for part_id, _ in parts:
             self._shared[part_id] = None
             self._shared.move_to_end(part_id)
@@ -90,10 +90,10 @@
             self._shared.popitem(last=False)
 
     def take(self, cache, change):
-        """Take a change into the cache; remember it if others need it.
+        """Apply a change to the cache view, and queue it if others need it.
 
-        A part that was believed to be kept may be believed so by others too,
-        also if it isn't known to be shared: they have the engine's list.
+        Other gateways may also assume that a part is cached although it is
+        not known to be shared: they have the engine's list.
         """
         known = cache.cached_tokens(change.part_id)
         is_shared = change.part_id in self._shared
@@ -103,7 +103,7 @@
         self._unsent.append(change)
 
     def drain(self):
-        """Return the changes that weren't told yet."""
+        """Return and clear the changes not sent yet."""
         unsent = self._unsent
         self._unsent = []
         return unsent
--- a/clementinewall/gateway/cell_membership.py
+++ b/clementinewall/gateway/cell_membership.py
@@ -1,4 +1,4 @@
-"""Which gateways and engines this gateway works with closely."""
+"""The cell of gateways and engines that this gateway belongs to."""
 
 from clementinewall import domain
 from clementinewall import logs
@@ -11,14 +11,14 @@
     """Keeps the cell of this gateway current."""
 
     def __init__(self, settings, fleet_view):
-        """Begin alone."""
+        """Start as the only gateway, without engines."""
         self._ip = settings.ip
         self._fleet_view = fleet_view
         self._cell = cells.Cell(frozenset((self._ip,)), frozenset())
         self._assigned = None
 
     def update(self, live_ips):
-        """Deal anew among the gateways that were heard lately."""
+        """Reassign the cells if the live gateways or engines changed."""
         engines = [
             cells.Engine(endpoint.id, endpoint.service, endpoint.stage)
             for endpoint in self._fleet_view.endpoint_by_id.values()
@@ -33,7 +33,7 @@
             return
         self._cell = cell
         _log.info(
-            "cell dealt",
+            "cell assigned",
             gateways=len(cell.gateways),
             engines=len(cell.engines),
             of_gateways=len(live_ips) + 1,
@@ -41,15 +41,15 @@
         )
 
     def is_cell_gateway(self, ip):
-        """Tell whether a gateway shares this one's engines."""
+        """Return whether a gateway belongs to this gateway's cell."""
         return ip in self._cell.gateways
 
     def is_cell_engine(self, state):
-        """Tell whether an engine belongs to this gateway's cell."""
+        """Return whether an engine belongs to this gateway's cell."""
         return state.endpoint.id in self._cell.engines
 
     def cell_engines(self, states):
-        """Return those of the cell, or all where it has none."""
+        """Return those of the cell, or all if it has no decode engine."""
         own = [s for s in states if self.is_cell_engine(s)]
         return own if _has_decode_engine(own) else states
 
--- a/clementinewall/gateway/crash_guard.py
+++ b/clementinewall/gateway/crash_guard.py
@@ -1,8 +1,8 @@
-"""Keeping a request that crashes endpoints from reaching ever more of them.
+"""Keeping a request that crashes endpoints from crashing more of them.
 
-Such a request comes again, with the same path and body, at any gateway.  The
-marks of :mod:`clementinewall.membership.crashes` travel with what gateways
-tell one another.
+Such a request is retried, with the same path and body, at any gateway.  The
+crash records of :mod:`clementinewall.membership.crashes` are part of
+the messages between gateways.
 """
 
 import hashlib
@@ -16,22 +16,22 @@
 _log = logs.PartLog("guard")
 
 DIGEST_BYTES = 8
-# 422 would tell the caller that its request is at fault, which a mark cannot
-# prove: endpoints also go down for reasons of their own.
+# 422 would blame the caller's request, which a crash record cannot prove:
+# endpoints also fail for unrelated reasons.
 STATUS = 502
 
 
 class CrashGuard:
-    """The marks of requests under which endpoints went down."""
+    """The crash records of requests during which endpoints failed."""
 
     def __init__(self, now):
-        """Begin without marks."""
+        """Start without crash records."""
         self._table = crashes.CrashTable(now)
 
     def check(self, call):
         """Refuse a request that crashed two endpoints.
 
-        :raises HarmfulRequest: it did.
+        :raises HarmfulRequest: if it did.
         """
         if self._table.is_harmful(_digest(call)):
             error = errors.HarmfulRequest("this request crashed two endpoints")
@@ -39,11 +39,11 @@
             raise error
 
     def record_answer(self, call):
-        """Note that a request was answered, so that it crashes nothing."""
+        """Clear the crash records of a request that was answered."""
         self._table.clear(_digest(call))
 
     def record_failure(self, call, state, failure, before_first):
-        """Mark a request whose connection broke while it may have run."""
+        """Record a crash if the request may have run when it broke off."""
         if failure.answer is not None or not failure.broken:
             return
         if failure.verdict is not verdicts.Verdict.MAY_HAVE_RUN:
@@ -52,18 +52,18 @@
         digest = _digest(call)
         if self._table.add(digest, incarnation, strong=before_first):
             _log.info(
-                "endpoint broke off under a request",
+                "connection broke during a request; crash recorded",
                 request=call.attempt,
                 endpoint=state.endpoint.id,
                 digest=digest,
             )
 
     def message(self):
-        """Return the newest marks as plain data, for peers."""
+        """Return the newest crash records as plain data, for peers."""
         return [list(mark) for mark in self._table.message()]
 
     def merge(self, rows):
-        """Take in the marks of a peer."""
+        """Merge the crash records of a peer."""
         self._table.merge(members.Crash(*row) for row in rows)
 
 
--- a/clementinewall/gateway/datagrams.py
+++ b/clementinewall/gateway/datagrams.py
@@ -1,7 +1,7 @@
-"""The datagram socket of a gateway.
+"""The UDP socket of a gateway.
 
-asyncio's own protocol is used because it hands over each datagram without a
-task that has to be woken, and sends without a pass through the event loop.
+An asyncio protocol is used because it delivers each datagram without waking a
+task, and sends without a pass through the event loop.
 """
 
 import asyncio
@@ -14,7 +14,7 @@
 
 
 class DatagramSocket(asyncio.DatagramProtocol):
-    """Sends datagrams and hands over those that come."""
+    """Sends datagrams and passes received ones to a callback."""
 
     def __init__(self, port, take):
         """Call ``take(raw, ip)`` for each datagram; peers listen on ``port``.
@@ -26,15 +26,15 @@
         self._transport = None
 
     def connection_made(self, transport):
-        """Begin."""
+        """Store the transport."""
         self._transport = transport
 
     def datagram_received(self, data, addr):
-        """Hand over a datagram."""
+        """Pass a datagram to the callback."""
         self._take(data, addr[0])
 
     def error_received(self, exc):
-        """Note that a datagram could not be sent; its peer may be gone."""
+        """Log a datagram that was not sent; the peer may be unreachable."""
         _log.debug("not sent", why=repr(exc))
 
     def send(self, raw, ips):
@@ -48,9 +48,9 @@
 
 
 async def open_socket(ip, port, take):
-    """Return :class:`Datagrams` on ``ip``.
+    """Return a :class:`DatagramSocket` on ``ip``.
 
-    :raises SettingsError: naming the address, which can't be used.
+    :raises SettingsError: if the address cannot be bound.
     """
     loop = asyncio.get_running_loop()
     try:
--- a/clementinewall/gateway/endpoints.py
+++ b/clementinewall/gateway/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoints as this gateway uses them: connections, work, caches."""
+"""This gateway's state for each endpoint: connections, work, cache."""
 
 from clementinewall import domain
 from clementinewall.gateway import cache_holders
@@ -12,18 +12,19 @@
 
 _log = logs.PartLog("endpoint")
 
-# An endpoint without power answers nothing, and whoever waits for it loses
-# that time of its target.
+# A host that is down does not refuse connections; waiting for it uses up part
+# of the request's target time.
 CONNECT_TIMEOUT_MS = 200
-# With work open, an endpoint that says nothing for so long is taken for dead.
+# With open requests, an endpoint that sends nothing for so long counts as
+# unresponsive.
 RESPONSE_TIMEOUT_MS = 1_000
 
 
 class EndpointState:
-    """One life of an endpoint."""
+    """The state of one incarnation of an endpoint."""
 
     def __init__(self, endpoint, now):
-        """Begin with no connection and no work."""
+        """Start without connections or work."""
         self.endpoint = endpoint
         self._now = now
         self._last_response_at = None
@@ -35,12 +36,12 @@
         self.last_prefill_end = now()
         self.load = None
         self.load_at = None
-        # Until when the engine changes its stage and takes no work.
+        # The engine takes no work until then because its stage changes.
         self.unavailable_until = 0
         self.cache = cache_view.CacheView()
 
     def begin(self):
-        """Count a request that is sent now."""
+        """Count a request as open."""
         if not self.open:
             self._last_response_at = self._now()
         self.open += 1
@@ -50,25 +51,25 @@
         self.open -= 1
 
     def record_response(self):
-        """Note that the endpoint said something."""
+        """Record that the endpoint sent data."""
         self._last_response_at = self._now()
 
     def is_usable(self):
-        """Tell whether new work may go there."""
+        """Return whether new work may be sent to the endpoint."""
         now = self._now()
         if now < self.unavailable_until or self._is_timed_out():
             return False
         return self.health.is_usable(now)
 
     def is_unavailable(self):
-        """Tell whether nothing that is sent there would be answered."""
+        """Return whether requests to the endpoint would get no answer."""
         return self._now() < self.unavailable_until or self.is_unresponsive()
 
     def is_unresponsive(self):
-        """Tell whether the endpoint doesn't answer at all.
+        """Return whether the endpoint answers no requests at all.
 
-        Silence alone doesn't tell: a single answer that got lost keeps a
-        request open while the endpoint answers all others.
+        A time-out alone is not enough: a single lost answer keeps a request
+        open while the endpoint answers all others.
         """
         now = self._now()
         if self.health.is_absent(now):
@@ -82,13 +83,13 @@
         )
 
     def begin_prompt(self, urgency, cost_ms):
-        """Note a prompt that is sent now; return it for its end."""
+        """Record a prompt sent now; return its job for ``end_prompt``."""
         job = prefill_queue.Job(urgency, cost_ms, self._now())
         self.jobs.append(job)
         return job
 
     def end_prompt(self, job, was_read):
-        """Note that a prompt was answered or given up."""
+        """Record that a prompt was answered or abandoned."""
         self.jobs.remove(job)
         if was_read:
             self.last_prefill_end = self._now()
@@ -104,7 +105,7 @@
     """All endpoints, by id."""
 
     def __init__(self, fleet_view, now):
-        """Use what the beliefs say."""
+        """Use the endpoints of ``fleet_view``."""
         self._fleet_view = fleet_view
         self._now = now
         self._state_by_incarnation = {}
@@ -114,13 +115,13 @@
         self.cache_holders = cache_holders.CacheHolders(now)
 
     def state(self, endpoint):
-        """Return the state of this life of an endpoint."""
+        """Return the state of this incarnation of an endpoint."""
         state = self._state_by_incarnation.get(endpoint.incarnation_key)
         if state is None:
             state = EndpointState(endpoint, self._now)
             self._state_by_incarnation[endpoint.incarnation_key] = state
         if state.endpoint.stage != endpoint.stage:
-            # What it refused in its stage before says nothing any more.
+            # Failures in its previous stage do not apply to the new one.
             state.health = endpoint_health.Health()
         state.endpoint = endpoint
         return state
@@ -141,7 +142,7 @@
         return self.state(endpoint)
 
     def is_current(self, state):
-        """Tell whether the endpoint still takes new work."""
+        """Return whether the endpoint still takes new work."""
         known = self._fleet_view.endpoint_by_id.get(state.endpoint.id)
         return (
             known is not None
@@ -150,7 +151,7 @@
         )
 
     def apply_peer_prefill(self, endpoint_id, parts):
-        """Note prompts that another gateway had read."""
+        """Apply a prompt that an engine prefilled for another gateway."""
         endpoint = self._fleet_view.endpoint_by_id.get(endpoint_id)
         if endpoint is not None:
             self.state(endpoint).cache.use(parts, self._capacity(endpoint))
@@ -158,14 +159,14 @@
             self.cache_holders.record_peer(endpoint_id, parts)
 
     def apply_cached_parts(self, state, parts):
-        """Note parts that an engine says it keeps."""
+        """Apply parts that an engine reports as cached."""
         for part in parts:
             state.cache.put(part.id, part.tokens)
 
     def replace_cache(self, state, parts):
-        """Note that an engine keeps these parts only, for others too.
+        """Replace the view of an engine's cache; queue evictions for peers.
 
-        Return how many others it was believed to keep.
+        Return how many parts were assumed cached but are not.
         """
         dropped = state.cache.part_ids - {part.id for part in parts}
         for part_id in dropped:
@@ -175,16 +176,16 @@
         return len(dropped)
 
     def apply_cache_changes(self, state, parts):
-        """Note changes that an engine tells of its cache, oldest first."""
+        """Apply cache changes that an engine reports, oldest first."""
         tokens_by_part_id = {part.id: part.tokens for part in parts}
         for part_id, tokens in tokens_by_part_id.items():
             change = cache_view.Change(state.endpoint.id, part_id, tokens)
             self._changes.take(state.cache, change)
 
     def apply_peer_cache_changes(self, rows):
-        """Note changes of caches that another gateway follows.
+        """Apply changes of caches that another gateway polls.
 
-        :raises TypeError, ValueError, OverflowError: it is no such message.
+        :raises TypeError, ValueError, OverflowError: if malformed.
         """
         for endpoint_id, part_id, tokens in rows:
             state = self.find(str(endpoint_id))
@@ -192,21 +193,21 @@
                 state.cache.put(str(part_id), max(0, int(tokens)))
 
     def drain_cache_changes(self):
-        """Return the changes of caches that others weren't told yet."""
+        """Return and clear the cache changes not yet sent to peers."""
         return self._changes.drain()
 
     def record_prefill(self, state, prompt):
-        """Note a prompt that was read for this gateway, to tell others."""
+        """Record a prefill for this gateway, and queue it for peers."""
         parts = [(part.id, part.tokens) for part in prompt.parts]
         state.cache.use(parts, self._capacity(state.endpoint))
-        # The last part belongs to this request alone.
+        # The last part is specific to this request.
         shared = parts[:-1]
         self._changes.record_shared(shared)
         self._prefills.append((state.endpoint.id, shared))
         self.cache_holders.record(state.endpoint.id, shared)
 
     def record_fetch(self, state, prompt):
-        """Note that an engine fetched the memory of a prompt and keeps it."""
+        """Record that an engine fetched the KV cache of a prompt."""
         parts = [(part.id, part.tokens) for part in prompt.parts]
         state.cache.use(parts, self._capacity(state.endpoint))
         self._prefills.append((state.endpoint.id, parts[:-1]))
@@ -221,7 +222,7 @@
         return service.engine.kv_tokens
 
     def unavailable_ms_by_endpoint_id(self):
-        """Return for how long engines that change their stage are away."""
+        """Return for how many ms engines that change stage take no work."""
         now = self._now()
         return {
             state.endpoint.id: state.unavailable_until - now
@@ -230,13 +231,13 @@
         }
 
     def apply_unavailability(self, endpoint_id, ms):
-        """Note that an engine changes its stage."""
+        """Record that an engine takes no work for ``ms``."""
         endpoint = self._fleet_view.endpoint_by_id.get(endpoint_id)
         if endpoint is not None:
             self.state(endpoint).unavailable_until = self._now() + ms
 
     def drain_prefills(self):
-        """Return what was read since the last time."""
+        """Return and clear the prefills not yet sent to peers."""
         read = self._prefills
         self._prefills = []
         return read
@@ -251,7 +252,7 @@
         return work
 
     def sweep(self):
-        """Close what is left of endpoints that are gone, and old links."""
+        """Close the connections of removed endpoints, and idle ones."""
         current = {
             endpoint.incarnation_key
             for endpoint in self._fleet_view.endpoint_by_id.values()
@@ -263,9 +264,9 @@
             state.pool.close()
             if not state.open:
                 del self._state_by_incarnation[incarnation]
-                _log.info("endpoint forgotten", endpoint=state.endpoint.id)
+                _log.info("endpoint state removed", endpoint=state.endpoint.id)
 
 
 def is_engine(state):
-    """Tell whether the endpoint is a model engine with a stage."""
+    """Return whether the endpoint is a model engine with a stage."""
     return state.endpoint.stage in (domain.PREFILL, domain.DECODE)
--- a/clementinewall/gateway/fleet_view.py
+++ b/clementinewall/gateway/fleet_view.py
@@ -1,9 +1,9 @@
-"""What a gateway believes of the configuration and the endpoints.
+"""A gateway's view of the configuration and the endpoints.
 
-Records of the store are taken in by the offset at which they stand, so that
-a stale read, a repeated page or a restart of the reading changes nothing
-back.  Nothing here waits or calls anybody; the tasks of
-:mod:`clementinewall.gateway.topic_followers` bring the records.
+Records of the store are applied by offset, so that a stale read, a repeated
+page or a restarted follower never reverts newer state.  Nothing here performs
+I/O; the tasks of
+:mod:`clementinewall.gateway.topic_followers` supply the records.
 """
 
 from clementinewall import errors
@@ -12,20 +12,20 @@
 
 _log = logs.PartLog("belief")
 
-# While the store was away, endpoints could not renew their records, which
-# then lapsed.  Those that live are back within two seconds of its return
-# (the platform's figure); only who is missing after that has left.
+# Endpoints cannot renew their records during a store outage, so the records
+# expire.  Running endpoints re-register within two seconds of its recovery
+# (the platform's figure); those still missing after that are removed.
 LAPSE_GRACE_MS = 2_000
-# A gap between two reads from which on records may have lapsed meanwhile.
-# Endpoints write about every 1,200 ms and lapse after three such spans.
+# Records may have expired during an outage of at least this length.
+# Endpoints write about every 1,200 ms and expire after three missed writes.
 MIN_OUTAGE_MS = 1_500
 
 
 class FleetView:
-    """The configuration in force and the endpoints, with their offsets."""
+    """The active configuration and the endpoints, with their offsets."""
 
     def __init__(self, now):
-        """Know nothing; ``now`` returns the time in ms."""
+        """Start empty; ``now`` returns the time in ms."""
         self._now = now
         self.configuration = None
         self.endpoint_by_id = {}
@@ -34,16 +34,17 @@
         self._offset_by_id = {}
         self._lapse_end_by_id = {}
         self._grace_until = None
-        # Others that started lately may hold such a record for the newest.
+        # Endpoints with a rejected record of an earlier incarnation.  Gateways
+        # that started recently may take that record for the newest.
         self._rejected_ids = set()
 
     @property
     def is_ready(self):
-        """Tell whether requests can be served by what is known."""
+        """Return whether enough is known to serve requests."""
         return self.configuration is not None and self.is_fleet_known
 
     def apply_configuration(self, record):
-        """Take in a record of the operators' topic; return if it is new."""
+        """Apply a record of the operators' topic; return whether it is new."""
         if record.key != records.CONFIGURATION_KEY or record.value is None:
             return False
         if record.offset <= self._configuration_offset:
@@ -52,7 +53,7 @@
             found = records.configuration(record.value)
         except errors.BadRecord as exc:
             _log.warning(
-                "unreadable configuration kept out",
+                "invalid configuration ignored",
                 offset=record.offset,
                 why=exc.message,
             )
@@ -60,7 +61,7 @@
         known = self.configuration
         if known is not None and found.version <= known.version:
             _log.warning(
-                "older configuration kept out",
+                "older configuration ignored",
                 offset=record.offset,
                 version=found.version,
                 in_force=known.version,
@@ -69,7 +70,7 @@
         self._configuration_offset = record.offset
         self.configuration = found
         _log.info(
-            "configuration in force",
+            "configuration active",
             version=found.version,
             offset=record.offset,
             routes=sum(len(r) for r in found.routes_by_host.values()),
@@ -77,13 +78,13 @@
         return True
 
     def apply_endpoint(self, record):
-        """Take in a record of the endpoints' topic.
+        """Apply a record of the endpoints' topic.
 
-        Return whether others, who know all that came before it, have to be
-        told: not of a heartbeat that repeats what the last record said.
+        Return whether gateways that know all earlier records need this one;
+        a heartbeat that repeats the last record is not needed.
         """
         if record.offset <= self._offset_by_id.get(record.key, -1):
-            # It came with a later page already; others may not have that.
+            # Already covered by a later page, which others may not have read.
             return True
         self._offset_by_id[record.key] = record.offset
         if record.value is None:
@@ -93,7 +94,7 @@
             found = records.endpoint(record.key, record.value)
         except errors.BadRecord as exc:
             _log.warning(
-                "unreadable endpoint kept out",
+                "invalid endpoint record; endpoint dropped",
                 endpoint=record.key,
                 offset=record.offset,
                 why=exc.message,
@@ -104,7 +105,7 @@
         lapsed = self._lapse_end_by_id.pop(record.key, None)
         if known is not None and found.incarnation < known.incarnation:
             _log.warning(
-                "record of an earlier life kept out",
+                "record of an earlier incarnation ignored",
                 endpoint=record.key,
                 offset=record.offset,
             )
@@ -130,10 +131,10 @@
         return is_update
 
     def apply_fleet_snapshot(self, batch):
-        """Take in the newest record of each endpoint.
+        """Apply the newest record of each endpoint.
 
-        An endpoint that isn't among them has left: its records, and that of
-        its leaving, have expired.
+        An endpoint that is not listed has been removed: its records,
+        including the removal, have expired.
         """
         listed = {record.key for record in batch.records}
         for record in batch.records:
@@ -151,7 +152,7 @@
             if name not in self._lapse_end_by_id:
                 self._lapse_end_by_id[name] = self._grace_until
                 _log.info(
-                    "endpoint lapsed while the store was away",
+                    "endpoint record expired during a store outage",
                     endpoint=name,
                     offset=offset,
                 )
@@ -164,13 +165,13 @@
             _log.info(f"endpoint {why}", endpoint=name, offset=offset)
 
     def record_store_recovery(self, away_ms):
-        """Note that reading works again after ``away_ms`` without."""
+        """Record that the store is readable after ``away_ms`` of outage."""
         if away_ms >= MIN_OUTAGE_MS:
             self._grace_until = self._now() + LAPSE_GRACE_MS
 
     def expire(self):
-        """Drop the endpoints that lapsed and did not come back."""
+        """Drop endpoints that did not re-register within the grace period."""
         now = self._now()
         for name, end in list(self._lapse_end_by_id.items()):
             if now >= end:
-                self._forget(name, "missing after the store's return", None)
+                self._forget(name, "missing after the store recovered", None)
--- a/clementinewall/gateway/peer_messages.py
+++ b/clementinewall/gateway/peer_messages.py
@@ -1,12 +1,12 @@
-"""What gateways tell one another: types, and their form in a datagram.
+"""The messages between gateways: types, and their encoding in a datagram.
 
 A datagram is a compressed JSON object with any of these keys: ``state`` (the
-sender's unfinished work), ``read`` (shared parts of prompts that engines read
-or fetched for it), ``changed`` (parts that engines dropped or keep again),
-``marks`` (requests that crashed endpoints), ``signs`` (which gateways live),
-``kept`` (long beginnings of prompts that engines read for the sender) and
-``news`` (what was read of the store).  Times travel as ages, since clocks of
-two machines are never compared.
+sender's unfinished work), ``read`` (shared prompt parts that engines prefilled
+or fetched for it), ``changed`` (parts that engines evicted or cached again),
+``marks`` (crash records of requests), ``signs`` (heartbeats of gateways),
+``kept`` (long prompt prefixes that engines prefilled for the sender) and
+``news`` (updates read from the store).  Times are sent as ages, since clocks
+of two machines are never compared.
 """
 
 import json
@@ -21,8 +21,8 @@
 class Work(typing.NamedTuple):
     """One gateway's unfinished work at one engine.
 
-    ``jobs`` are the prompts that wait or are read, ``streams`` the answers
-    that are being made, ``last_end`` is when a prompt was last answered.
+    ``jobs`` are the prompts that are queued or in prefill, ``streams`` counts
+    the answers in decode, ``last_prefill_end`` is when a prefill last ended.
     """
 
     jobs: tuple[prefill_queue.Job, ...]
@@ -31,7 +31,7 @@
 
 
 class Heartbeat(typing.NamedTuple):
-    """That a gateway lived at ``heard_at``, and how callers reach it."""
+    """When a gateway was last known alive, and its address for callers."""
 
     ip: str
     callers: str
@@ -41,11 +41,11 @@
 
 
 class GatewayState(typing.NamedTuple):
-    """A gateway's sign of life, with its work and the engines it changes.
+    """A gateway's heartbeat, with its work and the engines it reconfigures.
 
-    ``away_by_endpoint`` tells for how many ms engines that change their
-    stage take no work, ``estimate_by_service`` what the gateway learned of
-    how engines read.
+    ``unavailable_ms_by_endpoint_id`` is for how many ms engines that change
+    their stage take no work, ``estimate_by_service`` how the prefill time
+    that the gateway measured compares with the predicted one.
     """
 
     sign: Heartbeat
@@ -54,15 +54,15 @@
     estimate_by_service: dict[str, prefill_scale.Estimate] = {}
 
 
-# The fastest level.  Bytes between data centres are paid for.
+# The fastest level.  Compression pays since traffic between data centres is
+# charged by the byte.
 LEVEL = 1
-# What a message may have when it is read; it is bounded so that no datagram
-# can fill the memory.
+# The limit on a decompressed message, so that no datagram can exhaust memory.
 MAX_BYTES = 200_000
 
 
 def dump(message):
-    """Return the bytes of a message."""
+    """Return a message as compressed bytes."""
     raw = json.dumps(message, separators=(",", ":")).encode()
     return zlib.compress(raw, LEVEL)
 
@@ -70,17 +70,17 @@
 def load(raw):
     """Return the message in a datagram.
 
-    :raises ValueError: there is none.
+    :raises ValueError: if the datagram is malformed.
     """
     try:
         data = zlib.decompressobj().decompress(raw, MAX_BYTES)
     except zlib.error as exc:
-        raise ValueError(f"not compressed: {exc}") from exc
+        raise ValueError(f"datagram is not valid zlib data: {exc}") from exc
     return json.loads(data)
 
 
 def encode_heartbeat(value, now):
-    """Return a sign of life as plain data."""
+    """Return a heartbeat as plain data."""
     return [*value[:4], now - value.received_at]
 
 
@@ -108,9 +108,9 @@
 
 
 def decode_heartbeat(row, now):
-    """Return the sign of life in a message.
+    """Return the heartbeat in a message.
 
-    :raises TypeError, ValueError: it is none.
+    :raises TypeError, ValueError: if the row is malformed.
     """
     ip, callers, data_centre, ready, age = row
     received_at = now - max(0, age)
@@ -122,7 +122,7 @@
 def decode_state(data, now):
     """Return the state in a message.
 
-    :raises AttributeError, KeyError, TypeError, ValueError: it is none.
+    :raises AttributeError, KeyError, TypeError, ValueError: if malformed.
     """
     work = {
         name: Work(
@@ -147,7 +147,7 @@
 def _estimates(rows):
     """Return the estimates in a message.
 
-    :raises AttributeError, TypeError, ValueError: they are none.
+    :raises AttributeError, TypeError, ValueError: if malformed.
     """
     found = {}
     for name, (log_scale, weight) in (rows or {}).items():
--- a/clementinewall/gateway/peer_table.py
+++ b/clementinewall/gateway/peer_table.py
@@ -1,21 +1,21 @@
-"""Which other gateways live, from datagrams and from what others heard.
+"""Which other gateways are alive, from direct and forwarded heartbeats.
 
-A gateway that isn't heard for a while counts as gone, and its work with it.
-Gateways of the own cell are heard directly; of the others the table mostly
-learns from gateways that hear them, so that the datagrams don't grow with
-the square of the deployment.
+A gateway without a recent heartbeat counts as removed, and its work with it.
+Gateways of the own cell send theirs directly; those of the others are mostly
+forwarded by gateways that receive them, so that the number of datagrams does
+not grow with the square of the deployment.
 """
 
 from clementinewall import logs
 
 _log = logs.PartLog("peers")
 
-# Gateways of a cell send every 300 ms, or oftener; of those outside somebody
-# tells about four times a second, each time as of 300 ms ago at most.
-# Callers that ask aren't sent to a gateway that died longer ago than this.
+# Gateways of a cell send at least every 300 ms.  Heartbeats from outside the
+# cell are forwarded about four times a second and are at most 300 ms old.
+# Callers are not directed to a gateway that has been silent for longer.
 HEARTBEAT_TIMEOUT_MS = 1_600
-# Cells are dealt anew only when a gateway is gone for longer than a restart
-# takes, since each time the work of several cells is scattered.
+# Cells are reassigned only when a gateway is unreachable for longer than a
+# restart takes, since each reassignment scatters the work of several cells.
 MEMBER_TIMEOUT_MS = 5_000
 
 
@@ -23,63 +23,65 @@
     """The other gateways, by address."""
 
     def __init__(self, own_ip, now):
-        """Know nobody."""
+        """Start empty."""
         self._own_ip = own_ip
         self._now = now
         self._heartbeat_by_ip = {}
         self._state_by_ip = {}
         self._member_until_by_ip = {}
-        # Whether all gateways are known that the store names.
+        # Whether all gateways in the store are registered here.
         self.is_complete = False
 
     @property
     def ips(self):
-        """Return the addresses of all gateways ever heard of."""
+        """Return the addresses of all registered or observed gateways."""
         return self._member_until_by_ip.keys()
 
     def register(self, ip):
-        """Note a gateway of the store's topic; it may have died long ago."""
+        """Add a gateway of the store's topic; it may have stopped long ago."""
         if ip != self._own_ip and ip not in self._member_until_by_ip:
             self._member_until_by_ip[ip] = self._now() + MEMBER_TIMEOUT_MS
 
     def remove(self, ip):
-        """Forget a gateway whose record was removed."""
+        """Remove a gateway whose record was removed."""
         self._member_until_by_ip.pop(ip, None)
         self._heartbeat_by_ip.pop(ip, None)
         self._state_by_ip.pop(ip, None)
 
     def record_state(self, ip, state):
-        """Note what a gateway sent itself, from ``ip``."""
+        """Record the state that the gateway at ``ip`` itself sent."""
         self._state_by_ip[ip] = state
         self.record_heartbeat(state.sign._replace(ip=ip))
 
     def record_heartbeat(self, sign):
-        """Note a sign of life, if it is the latest."""
+        """Record a heartbeat, if it is the latest."""
         if sign.ip == self._own_ip:
             return
         known = self._heartbeat_by_ip.get(sign.ip)
         if known is not None and known.received_at >= sign.received_at:
             return
         if known is None:
-            _log.info("peer heard", ip=sign.ip, ready=sign.ready)
+            _log.info(
+                "first heartbeat from a peer", ip=sign.ip, ready=sign.ready
+            )
         self._heartbeat_by_ip[sign.ip] = sign
         until = sign.received_at + MEMBER_TIMEOUT_MS
         known_until = self._member_until_by_ip.get(sign.ip, until)
         self._member_until_by_ip[sign.ip] = max(known_until, until)
 
     def is_known(self, ip):
-        """Tell whether ``ip`` is that of a gateway."""
+        """Return whether ``ip`` belongs to a known gateway."""
         return ip in self._member_until_by_ip
 
     def live(self):
-        """Return the signs of the gateways heard of lately."""
+        """Return the heartbeats that have not timed out."""
         limit = self._now() - HEARTBEAT_TIMEOUT_MS
         return [
             s for s in self._heartbeat_by_ip.values() if s.received_at >= limit
         ]
 
     def states(self):
-        """Return the states of those heard directly lately."""
+        """Return the states received directly that have not timed out."""
         limit = self._now() - HEARTBEAT_TIMEOUT_MS
         return [
             s
@@ -88,7 +90,7 @@
         ]
 
     def members(self):
-        """Return the addresses of those that cells are dealt among."""
+        """Return the addresses of the gateways that cells are assigned to."""
         now = self._now()
         return [
             ip
--- a/clementinewall/gateway/peers.py
+++ b/clementinewall/gateway/peers.py
@@ -1,8 +1,8 @@
-"""The socket on which gateways talk with one another.
+"""The exchange of state between gateways by datagram.
 
-Gateways of a cell tell each other their work several times a second; the
-others get signs of life.  Datagrams may be lost or late and peers may be
-cut off.  Nothing that must hold depends on this.
+Gateways of a cell send each other their work several times a second; other
+gateways get heartbeats.  Datagrams may be lost or late and peers unreachable;
+no guarantee to callers depends on this exchange.
 """
 
 import collections
@@ -23,40 +23,40 @@
 
 _log = logs.PartLog("peers")
 
-# New prompts are told at once; otherwise all that are placed meanwhile go to
-# the engine that then seems the least loaded.  The gap between two sends
-# grows with the number of peers, which bounds the datagrams a second.
+# New prompts are announced at once; otherwise all prompts placed meanwhile
+# would go to the engine that seems least loaded.  The gap between two sends
+# grows with the number of peers, which bounds the datagrams per second.
 SEND_GAP_MS_PER_PEER = 2
-# Ends of work, and new streams, are told at the latest after this time.  The
-# others work out for themselves when a prompt has been read.
+# Finished work and new streams are announced after this time at the latest.
+# Peers predict by themselves when a prefill ends.
 MAX_CHANGE_DELAY_MS = 200
-# The body of a prompt that takes so long to read fills a thin link, and
-# datagrams that meet a full link are lost.  Such a prompt is told again.
+# The body of a prompt whose prefill takes so long saturates a slow link, and
+# datagrams on a saturated link are lost.  Such a prompt is announced again.
 LONG_PREFILL_MS = 40
 REPEAT_DELAY_MS = 60
-# Without a change a state is sent this seldom, as a sign of life.
+# Without a change the state is sent at this interval, as a heartbeat.
 HEARTBEAT_INTERVAL_MS = 300
-# A gateway outside the cell hears from this one once in so many rounds, and
-# in each of them from others of this cell, who tell the same.
+# A gateway outside the cell gets heartbeats from this one once in so many
+# rounds, and in each round from others of this cell, with the same content.
 REMOTE_INTERVAL_MS = 500
 REMOTE_ROUNDS = 4
 REGISTER_RETRY_MS = 1_000
 MAX_BYTES = 60_000
-# Datagrams get lost.  News with a change is sent so many times at once; the
-# next news, half a second later or more, repeats it as well.
+# Datagrams get lost, so an update with a change is sent this many times.  The
+# next update, half a second later or more, repeats it as well.
 UPDATE_COPIES = 2
 
 
 class Peers:
-    """Sends and receives; what is heard is in the table."""
+    """Sends and receives messages; the table holds what peers sent."""
 
     def __init__(
         self, settings, now, is_ready, endpoints, crash_guard, cell_membership
     ):
-        """Tell the work at ``endpoints``, who learn from others.
+        """Send the work at ``endpoints``, and apply that of peers to them.
 
-        The marks of ``guard`` go with each message, and ``is_ready`` says
-        whether callers may come.
+        The crash records of ``crash_guard`` go with each message, and
+        ``is_ready`` returns whether callers may use this gateway.
         """
         self._settings = settings
         self._now = now
@@ -65,7 +65,7 @@
         self._crash_guard = crash_guard
         self._cell_membership = cell_membership
         self.table = peer_table.PeerTable(settings.ip, now)
-        # Whether the store names no earlier process of this instance.
+        # Whether the store lists no earlier process of this instance.
         self.is_first_process = False
         self._last_work = {}
         self._last_at = -HEARTBEAT_INTERVAL_MS
@@ -78,14 +78,14 @@
         self._apply_update_by_topic = {}
 
     def notify(self):
-        """Let the others know soon of what has changed."""
+        """Send changes to the peers soon."""
         self._wake.set()
 
     def announce_prompt(self, job):
-        """Let the others know of a new prompt, before its body is sent.
+        """Announce a new prompt to the peers before its body is sent.
 
-        Sent right after it, the datagram may be lost behind the body on a
-        thin link, and others take the engine for idle until the next one.
+        On a slow link a datagram sent after the body may be lost, and peers
+        would take the engine for idle until the next one.
         """
         now = self._now()
         if job.cost_ms >= LONG_PREFILL_MS:
@@ -97,26 +97,26 @@
         self._send_state(self._endpoints.work_by_endpoint_id(), now)
 
     def group_rank(self):
-        """Return this gateway's place among those that live and serve.
+        """Return this gateway's rank among those that are alive and ready.
 
-        By address, so that all that hear one another agree.
+        The order is by address, so that gateways with the same view agree.
         """
         ready = [sign.ip for sign in self.table.live() if sign.ready]
         return store_polling.rank(self._settings.ip, ready)
 
     def send_update(self, update):
-        """Tell the others what was read of the store."""
+        """Send the peers of the group what was read of the store."""
         raw = peer_messages.dump({"news": topic_updates.encode(update)})
         copies = UPDATE_COPIES if update.records or not update.whole else 1
         self._outbox.extend([raw] * copies)
         self._wake.set()
 
     def on_update(self, topic, take):
-        """Hand what others read of a topic to ``take``."""
+        """Call ``take`` with the updates that peers send for a topic."""
         self._apply_update_by_topic[topic] = take
 
     def take(self, record):
-        """Take in a record of the gateways' topic."""
+        """Apply a record of the gateways' topic."""
         if record.value is None:
             self.table.remove(record.key)
         else:
@@ -128,8 +128,8 @@
         known = None
         while True:
             try:
-                # Only the first answer tells: an append without an answer may
-                # have been this process's own.
+                # Only the first answer counts: later ones may hold an append
+                # of this process whose answer was lost.
                 if known is None:
                     known = await client.newest(records.GATEWAYS_TOPIC)
                 await client.append(
@@ -137,7 +137,7 @@
                 )
                 break
             except errors.LogUnavailable as exc:
-                _log.warning("not registered yet", why=exc.message)
+                _log.warning("registration failed; retrying", why=exc.message)
                 await anyio.sleep(clock.seconds(REGISTER_RETRY_MS))
         names = {record.key for record in known.records}
         self.is_first_process = self._settings.ip not in names
@@ -165,7 +165,7 @@
             self._datagrams = None
 
     def _idle_wait_ms(self):
-        """Return how long there is nothing to send unless work comes."""
+        """Return how long to wait for new work before the next send."""
         if self._repeat_at is None:
             return MAX_CHANGE_DELAY_MS
         return min(MAX_CHANGE_DELAY_MS, max(0, self._repeat_at - self._now()))
@@ -193,7 +193,7 @@
             self._send_heartbeats(now)
 
     def _is_due(self, work, now):
-        """Tell whether the others should hear of the work now."""
+        """Return whether the work has to be sent to the peers now."""
         if self._repeat_at is not None and now >= self._repeat_at:
             self._repeat_at = None
             return True
@@ -217,12 +217,14 @@
         }
         raw = peer_messages.dump(message)
         if len(raw) > MAX_BYTES:
-            _log.warning("state too large to tell", size=len(raw))
+            _log.warning(
+                "state exceeds the datagram limit; not sent", size=len(raw)
+            )
             return
         self._datagrams.send(raw, self._cell_peers())
 
     def _send_heartbeats(self, now):
-        """Tell part of those outside the cell who lives in it."""
+        """Send the cell's heartbeats to a part of the gateways outside it."""
         cell_peers = set(self._cell_peers())
         remote = sorted(ip for ip in self.table.ips if ip not in cell_peers)
         turn = next(self._rounds) % REMOTE_ROUNDS
@@ -254,7 +256,7 @@
         )
 
     def _group(self):
-        """Return those that are told what this gateway reads."""
+        """Return the peers that get the updates this gateway reads."""
         own = self._settings.ip
         ips = [sign.ip for sign in self.table.live()]
         return [ip for ip in store_polling.group(own, ips) if ip != own]
@@ -270,8 +272,8 @@
             OverflowError,
             RecursionError,
         ) as exc:
-            # Anybody may send to this port.  An error here would end the
-            # whole process.
+            # Any host may send to this port.  An uncaught error here would
+            # end the process.
             _log.warning("unreadable datagram", ip=ip, why=repr(exc))
 
     def _take_datagram(self, message, ip):
@@ -284,8 +286,8 @@
             )
         self._crash_guard.merge(message.get("marks", ()))
         self._endpoints.cache_holders.merge(message.get("kept", ()))
-        # News decides which endpoints get work, so only gateways are
-        # believed, not whoever sends to this port.
+        # Updates decide which endpoints get work, so they are accepted only
+        # from known gateways.
         if "news" in message and self.table.is_known(ip):
             self._apply_update(topic_updates.decode(message["news"]))
 
--- a/clementinewall/gateway/topic_updates.py
+++ b/clementinewall/gateway/topic_updates.py
@@ -1,9 +1,9 @@
-"""What one gateway read of a topic, as it tells the others.
+"""Updates in which one gateway sends others what it read of a topic.
 
-News says that the topic held nothing but ``records`` from ``start`` up to
-``end``.  Whoever knows the topic up to ``start`` or further then knows it up
-to ``end``; all others read for themselves.  Records that changed nothing,
-such as heartbeats, are left out, so that news stays small.
+An update says that the topic's only relevant records from ``start`` up to
+``end`` are ``records``.  A gateway that knows the topic up to ``start`` or
+further thus knows it up to ``end``; all others read the store themselves.
+Records that change nothing, such as heartbeats, are left out to keep it small.
 """
 
 import base64
@@ -12,19 +12,19 @@
 
 from clementinewall.platform import store
 
-# Reads that one message covers: one that is lost is made up for by the next.
+# Reads covered by one message, so that the next makes up for a lost one.
 READS_PER_UPDATE = 3
-# News of a larger change names the end only, and all others read it: one
-# reader tells all others, and large messages would fill its link and delay
-# its answers.
+# The update for a larger change names only the end, and the other gateways
+# read the store: one gateway sends to all others, and large messages would
+# saturate its link and delay its answers.
 MAX_BYTES = 1_000
 
 
 class TopicUpdate(typing.NamedTuple):
-    """The records that count, from ``start`` up to before ``end``.
+    """The relevant records from ``start`` up to, but without, ``end``.
 
-    ``away_ms`` tells for how long the store could not be read before, or 0.
-    ``whole`` is false if the records were too large to be told.
+    ``away_ms`` is the length of the store outage before the read, or 0.
+    ``whole`` is false if the records were too large to send.
     """
 
     topic: str
@@ -45,16 +45,16 @@
     """The last reads of a topic, for the next message."""
 
     def __init__(self, topic):
-        """Begin without reads."""
+        """Start without reads."""
         self._topic = topic
         self._reads = collections.deque(maxlen=READS_PER_UPDATE)
 
     def forget(self):
-        """Begin anew: the records before the next read are not known."""
+        """Drop all reads; what precedes the next read is not known."""
         self._reads.clear()
 
     def add(self, start, end, records, away_ms):
-        """Note a read that began at ``start``; return the news of it."""
+        """Record a read that began at ``start``; return the update for it."""
         self._reads.append(_Read(start, tuple(records), away_ms))
         found = [record for read in self._reads for record in read.records]
         size = sum(len(r.key) + len(r.value or b"") for r in found)
@@ -70,16 +70,16 @@
 
 
 def encode(update):
-    """Return news as plain data for a datagram."""
+    """Return an update as plain data for a datagram."""
     return update._replace(
         records=[_plain(r) for r in update.records]
     )._asdict()
 
 
 def decode(data):
-    """Return the news in a datagram.
+    """Return the update in a datagram.
 
-    :raises KeyError, TypeError, ValueError: it is none.
+    :raises KeyError, TypeError, ValueError: if the data is malformed.
     """
     return TopicUpdate(
         str(data["topic"]),
