--- a/clementinewall/gateway/cache_sync.py
+++ b/clementinewall/gateway/cache_sync.py
@@ -118,7 +118,9 @@
     def _pollers(self):
         """Return the gateways that share this one's engines and may poll."""
         ready_ips = [
-            sign.ip for sign in self._peers.table.live() if sign.ready
+            heartbeat.ip
+            for heartbeat in self._peers.table.live()
+            if heartbeat.ready
         ]
         cell_ips = [
             ip for ip in ready_ips if self._cell_membership.is_cell_gateway(ip)
--- a/clementinewall/gateway/peer_messages.py
+++ b/clementinewall/gateway/peer_messages.py
@@ -48,7 +48,7 @@
     that the gateway measured compares with the predicted one.
     """
 
-    sign: Heartbeat
+    heartbeat: Heartbeat
     work_by_endpoint_id: dict[str, Work]
     unavailable_ms_by_endpoint_id: dict[str, float]
     estimate_by_service: dict[str, prefill_scale.Estimate] = {}
@@ -91,7 +91,7 @@
             name: [round(number, 2) for number in estimate]
             for name, estimate in value.estimate_by_service.items()
         },
-        "sign": encode_heartbeat(value.sign, now),
+        "sign": encode_heartbeat(value.heartbeat, now),
         "away": value.unavailable_ms_by_endpoint_id,
         "work": {
             name: [
--- a/clementinewall/gateway/peer_table.py
+++ b/clementinewall/gateway/peer_table.py
@@ -51,23 +51,25 @@
     def record_state(self, ip, state):
         """Record the state that the gateway at ``ip`` itself sent."""
         self._state_by_ip[ip] = state
-        self.record_heartbeat(state.sign._replace(ip=ip))
+        self.record_heartbeat(state.heartbeat._replace(ip=ip))
 
-    def record_heartbeat(self, sign):
+    def record_heartbeat(self, heartbeat):
         """Record a heartbeat, if it is the latest."""
-        if sign.ip == self._own_ip:
+        if heartbeat.ip == self._own_ip:
             return
-        known = self._heartbeat_by_ip.get(sign.ip)
-        if known is not None and known.received_at >= sign.received_at:
+        known = self._heartbeat_by_ip.get(heartbeat.ip)
+        if known is not None and known.received_at >= heartbeat.received_at:
             return
         if known is None:
             _log.info(
-                "first heartbeat from a peer", ip=sign.ip, ready=sign.ready
+                "first heartbeat from a peer",
+                ip=heartbeat.ip,
+                ready=heartbeat.ready,
             )
-        self._heartbeat_by_ip[sign.ip] = sign
-        until = sign.received_at + MEMBER_TIMEOUT_MS
-        known_until = self._member_until_by_ip.get(sign.ip, until)
-        self._member_until_by_ip[sign.ip] = max(known_until, until)
+        self._heartbeat_by_ip[heartbeat.ip] = heartbeat
+        until = heartbeat.received_at + MEMBER_TIMEOUT_MS
+        known_until = self._member_until_by_ip.get(heartbeat.ip, until)
+        self._member_until_by_ip[heartbeat.ip] = max(known_until, until)
 
     def is_known(self, ip):
         """Return whether ``ip`` belongs to a known gateway."""
@@ -86,7 +88,7 @@
         return [
             s
             for s in self._state_by_ip.values()
-            if s.sign.received_at >= limit
+            if s.heartbeat.received_at >= limit
         ]
 
     def members(self):
--- a/clementinewall/gateway/peers.py
+++ b/clementinewall/gateway/peers.py
@@ -101,7 +101,9 @@
 
         The order is by address, so that gateways with the same view agree.
         """
-        ready = [sign.ip for sign in self.table.live() if sign.ready]
+        ready = [
+            heartbeat.ip for heartbeat in self.table.live() if heartbeat.ready
+        ]
         return store_polling.rank(self._settings.ip, ready)
 
     def send_update(self, update):
@@ -231,9 +233,10 @@
         if not remote[turn::REMOTE_ROUNDS]:
             return
         own = [self._own_heartbeat(now)]
-        heard = [state.sign for state in self.table.states()]
+        heard = [state.heartbeat for state in self.table.states()]
         rows = [
-            peer_messages.encode_heartbeat(sign, now) for sign in own + heard
+            peer_messages.encode_heartbeat(heartbeat, now)
+            for heartbeat in own + heard
         ]
         message = {
             "signs": rows,
@@ -258,7 +261,7 @@
     def _group(self):
         """Return the peers that get the updates this gateway reads."""
         own = self._settings.ip
-        ips = [sign.ip for sign in self.table.live()]
+        ips = [heartbeat.ip for heartbeat in self.table.live()]
         return [ip for ip in store_polling.group(own, ips) if ip != own]
 
     def _receive(self, raw, ip):
--- a/tests/gateway/test_cache_holders.py
+++ b/tests/gateway/test_cache_holders.py
@@ -1,4 +1,4 @@
-"""Who keeps the beginning of a prompt."""
+"""Which engine holds a prompt prefix in its cache."""
 
 import unittest
 
@@ -17,34 +17,34 @@
     """Two gateways of different cells."""
 
     def setUp(self):
-        """Begin with gateways that know nothing."""
+        """Start with two gateways that know no holders."""
         self.ticker = clock.ManualClock(100_000)
         self.here = cache_holders.CacheHolders(self.ticker.now)
         self.there = cache_holders.CacheHolders(self.ticker.now)
 
-    def test_what_one_notes_the_other_finds(self):
+    def test_a_recorded_prefix_is_found_by_another_gateway(self):
         self.here.record("e1", LONG)
         self.ticker.advance(700)
         self.there.merge(self.here.message(2_000))
         found = self.there.find(PARTS)
         self.assertEqual((found.endpoint_id, found.tokens), ("e1", 4_500))
 
-    def test_what_is_old_is_neither_told_nor_found(self):
-        # Engines give up what is not used again.  A fetch of what is gone
-        # makes its prompt later than was predicted.
+    def test_expired_prefixes_are_neither_sent_nor_found(self):
+        # Engines evict unused parts.  A fetch of an evicted prefix delays its
+        # prompt beyond the prediction.
         self.here.record("e1", LONG)
         self.ticker.advance(cache_holders.RETENTION_MS + 1)
         self.assertIsNone(self.here.find(PARTS))
         self.assertEqual(self.here.message(cache_holders.RETENTION_MS), [])
 
-    def test_ages_add_up_on_the_way(self):
+    def test_ages_add_up_across_gateways(self):
         self.here.record("e1", LONG)
         self.ticker.advance(5_000)
         self.there.merge(self.here.message(cache_holders.RETENTION_MS))
         self.ticker.advance(5_000)
         self.assertIsNone(self.there.find(PARTS))
 
-    def test_short_beginnings_are_not_worth_telling(self):
+    def test_short_prefixes_are_not_recorded(self):
         self.here.record(
             "e1", [("system", cache_holders.MIN_PREFIX_TOKENS - 1)]
         )
@@ -63,8 +63,8 @@
         strategies.randoms(use_true_random=False),
     )
     @hypothesis.settings(derandomize=True)
-    def test_the_latest_reading_stands_whatever_the_order(self, rows, rng):
-        """Messages overtake one another and are told more than once."""
+    def test_the_latest_prefill_wins_in_any_order(self, rows, rng):
+        """Messages arrive out of order and more than once."""
         ticker = clock.ManualClock(100_000)
         writer = cache_holders.CacheHolders(ticker.now)
         reader = cache_holders.CacheHolders(ticker.now)
--- a/tests/gateway/test_endpoints.py
+++ b/tests/gateway/test_endpoints.py
@@ -1,4 +1,4 @@
-"""What a gateway believes of the engines' caches."""
+"""A gateway's view of engines: caches, prefill speed, availability."""
 
 import json
 import unittest
@@ -20,7 +20,7 @@
 
 
 def gateway_view():
-    """Return what one gateway knows: an engine, nothing of its cache."""
+    """Return a gateway that knows one engine, but not its cache."""
     ticker = clock.ManualClock(100_000)
     known = fleet_view.FleetView(ticker.now)
     known.endpoint_by_id = {"e1": ENGINE}
@@ -31,10 +31,10 @@
 
 
 class CacheBeliefs(unittest.TestCase):
-    """Two gateways, of which the first one follows the engine's cache."""
+    """Two gateways, of which the first polls the engine's cache."""
 
     def setUp(self):
-        """Have the engine read one prompt for the first gateway."""
+        """Have the engine prefill one prompt for the first gateway."""
         self.first = gateway_view()
         self.second = gateway_view()
         self.first.record_prefill(self.first.state(ENGINE), PROMPT)
@@ -42,32 +42,32 @@
             self.second.apply_peer_prefill(name, parts)
 
     def cached(self, view):
-        """Return how much of the prompt a gateway believes to be kept."""
+        """Return how many shared tokens a gateway takes for cached."""
         return view.state(ENGINE).cache.cached_prefix_tokens((SHARED,))
 
     def tell(self, *parts):
-        """Let the first gateway hear of changes, and tell the second one."""
+        """Report changes to the first gateway, which forwards them."""
         self.first.apply_cache_changes(self.first.state(ENGINE), parts)
         self.second.apply_peer_cache_changes(self.first.drain_cache_changes())
 
-    def test_a_part_that_was_dropped_is_known_to_be_gone_at_all(self):
+    def test_an_evicted_part_is_removed_at_all_gateways(self):
         self.assertEqual(self.cached(self.second), 8_000)
         self.tell(SHARED._replace(tokens=0))
         self.assertEqual(self.cached(self.first), 0)
         self.assertEqual(self.cached(self.second), 0)
 
-    def test_a_part_that_was_dropped_and_read_again_is_kept(self):
+    def test_a_part_evicted_and_prefilled_again_is_cached(self):
         self.tell(SHARED._replace(tokens=0), SHARED)
         self.assertEqual(self.cached(self.first), 8_000)
         self.assertEqual(self.cached(self.second), 8_000)
 
-    def test_parts_of_single_requests_are_not_told(self):
+    def test_parts_of_single_requests_are_not_sent(self):
         self.first.apply_cache_changes(
             self.first.state(ENGINE), [OWN, OWN._replace(id="other")]
         )
         self.assertEqual(self.first.drain_cache_changes(), [])
 
-    def test_a_listed_part_that_nobody_asked_for_is_known_to_be_gone(self):
+    def test_eviction_of_a_listed_unrequested_part_is_sent(self):
         listed = domain.PromptPart("p", 40_000)
         for view in (self.first, self.second):
             view.apply_cached_parts(view.state(ENGINE), [SHARED, listed])
@@ -75,12 +75,12 @@
         state = self.second.state(ENGINE)
         self.assertEqual(state.cache.cached_prefix_tokens((listed,)), 0)
 
-    def test_what_a_list_after_a_gap_lacks_is_told_too(self):
+    def test_parts_missing_from_a_list_after_a_gap_are_sent(self):
         self.first.replace_cache(self.first.state(ENGINE), [])
         self.second.apply_peer_cache_changes(self.first.drain_cache_changes())
         self.assertEqual(self.cached(self.second), 0)
 
-    def test_a_part_that_is_kept_in_part_ends_the_beginning(self):
+    def test_a_partly_cached_part_ends_the_cached_prefix(self):
         self.tell(SHARED._replace(tokens=4_096))
         after = domain.PromptPart("t", 100)
         state = self.second.state(ENGINE)
@@ -89,16 +89,16 @@
             state.cache.cached_prefix_tokens((SHARED, after)), 4_096
         )
 
-    def test_changes_of_an_engine_that_has_left_are_passed_over(self):
+    def test_changes_of_a_removed_engine_are_ignored(self):
         self.second.apply_peer_cache_changes([["gone", "s", 0]])
         self.assertEqual(self.cached(self.second), 8_000)
 
-    def test_the_list_at_a_start_takes_nothing_back(self):
+    def test_the_first_list_removes_nothing(self):
         other = domain.PromptPart("p", 300)
         self.second.apply_cached_parts(self.second.state(ENGINE), [other])
         self.assertEqual(self.cached(self.second), 8_000)
 
-    def test_a_whole_list_replaces_what_was_believed(self):
+    def test_a_full_list_replaces_the_cache_view(self):
         state = self.second.state(ENGINE)
         other = domain.PromptPart("p", 300)
         self.assertEqual(self.second.replace_cache(state, [other]), 1)
@@ -107,15 +107,15 @@
 
 
 class ReadingScale(unittest.TestCase):
-    """What gateways learn of how fast engines read."""
+    """Estimates of the prefill speed."""
 
     def test_a_gateway_that_starts_learns_from_those_that_run(self):
         first = gateway_view()
         for _ in range(30):
             first.scales.record("model", 150.0, 100.0)
-        sign = peer_messages.Heartbeat("10.0.0.9", "", "a", True, 0)
+        heartbeat = peer_messages.Heartbeat("10.0.0.9", "", "a", True, 0)
         told = peer_messages.GatewayState(
-            sign,
+            heartbeat,
             {},
             {},
             estimate_by_service=first.scales.estimate_by_service(),
@@ -128,7 +128,7 @@
         scale = started.scale("model", told)
         self.assertAlmostEqual(scale, 1.5, delta=0.15)
 
-    def test_estimates_that_are_none_are_refused(self):
+    def test_malformed_estimates_are_rejected(self):
         rows = ([0.1], [99, 1], [0.1, -1], ["x", 1], [float("nan"), 1])
         for row in rows:
             data = {"work": {}, "away": {}, "scales": {"model": row}}
@@ -141,28 +141,28 @@
 
 
 class Lost(unittest.TestCase):
-    """Which engines count as gone."""
+    """Which engines count as unavailable."""
 
     def setUp(self):
-        """Begin with an engine that has answered nothing for a while."""
+        """Start with an engine whose open request has timed out."""
         self.ticker = clock.ManualClock(100_000)
         self.state = endpoints.EndpointState(ENGINE, self.ticker.now)
         self.state.begin()
         self.ticker.advance(endpoints.RESPONSE_TIMEOUT_MS + 1)
 
-    def test_an_answer_that_got_lost_does_not_make_its_engine_gone(self):
+    def test_one_lost_answer_does_not_make_its_engine_unavailable(self):
         self.assertFalse(self.state.is_usable())
         self.assertFalse(self.state.is_unavailable())
 
-    def test_an_engine_that_is_silent_and_fails_is_gone(self):
+    def test_an_unresponsive_failing_engine_is_unavailable(self):
         for _ in range(2):
             self.state.health.record_failure(self.ticker.now())
         self.assertTrue(self.state.is_unavailable())
 
-    def test_an_engine_that_nothing_listens_for_is_gone(self):
+    def test_an_engine_that_refuses_connections_is_unavailable(self):
         self.state.health.record_failure(self.ticker.now(), absent=True)
         self.assertTrue(self.state.is_unavailable())
 
-    def test_an_engine_that_changes_its_stage_is_gone(self):
+    def test_an_engine_that_changes_its_stage_is_unavailable(self):
         self.state.unavailable_until = self.ticker.now() + 1
         self.assertTrue(self.state.is_unavailable())
--- a/tests/gateway/test_fleet_view.py
+++ b/tests/gateway/test_fleet_view.py
@@ -1,4 +1,4 @@
-"""What a gateway believes, whatever the store shows when."""
+"""A gateway's fleet view, for records in any order and in store outages."""
 
 import json
 import unittest
@@ -35,7 +35,7 @@
     """Records in any order, and outages."""
 
     def setUp(self):
-        """Know nothing."""
+        """Start empty."""
         self.clock = clock.ManualClock()
         self.fleet_view = fleet_view.FleetView(self.clock.now)
 
@@ -45,9 +45,9 @@
 
     @hypothesis.given(strategies.permutations(range(6)))
     @hypothesis.settings(derandomize=True)
-    def test_configuration_never_goes_back(self, order):
-        # Reads may be stale and histories dropped.  A version that was in
-        # force must not return, or requests go where operators forbade it.
+    def test_configuration_is_never_reverted(self, order):
+        # Reads may be stale and histories dropped.  A superseded version must
+        # not become active again, or requests use routes that were removed.
         known = fleet_view.FleetView(self.clock.now)
         highest = -1
         for offset in order:
@@ -66,19 +66,19 @@
             self.fleet_view.apply_endpoint(store.Record("e2", value, offset))
         self.assertEqual(self.usable(), ["e1"])
 
-    def test_stale_record_of_an_endpoint_is_kept_out(self):
+    def test_stale_record_of_an_endpoint_is_ignored(self):
         self.fleet_view.apply_endpoint(endpoint(7, state="draining"))
         self.fleet_view.apply_endpoint(endpoint(3))
         self.assertTrue(self.fleet_view.endpoint_by_id["e1"].draining)
 
-    def test_removed_endpoint_gets_nothing_more(self):
+    def test_removed_endpoint_gets_no_more_work(self):
         self.fleet_view.apply_endpoint(endpoint(0))
         self.fleet_view.apply_endpoint(store.Record("e1", None, 1))
         self.assertEqual(self.usable(), [])
 
-    def test_records_that_lapsed_in_an_outage_get_two_seconds(self):
-        # While the store was away no endpoint could renew its record.  All
-        # lapse at once; dropped at once, every request would be refused.
+    def test_records_that_expired_in_an_outage_get_a_grace_period(self):
+        # Endpoints cannot renew their records in a store outage, so all expire
+        # at once.  Without a grace period every request would be refused.
         self.fleet_view.apply_endpoint(endpoint(0))
         self.fleet_view.record_store_recovery(5_000)
         self.fleet_view.apply_endpoint(store.Record("e1", None, 1))
@@ -96,8 +96,8 @@
         self.fleet_view.expire()
         self.assertEqual(self.usable(), ["e1"])
 
-    def test_endpoint_missing_after_the_history_is_gone(self):
-        # The record of its leaving has expired; only its absence shows it.
+    def test_endpoint_missing_from_a_fleet_snapshot_is_removed(self):
+        # The record of its removal has expired; only its absence shows it.
         self.fleet_view.apply_endpoint(endpoint(0))
         self.fleet_view.apply_endpoint(endpoint(1, "e2"))
         self.fleet_view.apply_fleet_snapshot(
--- a/tests/gateway/test_peers.py
+++ b/tests/gateway/test_peers.py
@@ -1,4 +1,4 @@
-"""When a gateway tells the others of its work."""
+"""When a gateway sends its work to its peers."""
 
 import unittest
 
@@ -30,13 +30,13 @@
 
 
 class _Wire:
-    """Keeps what is sent in place of a socket."""
+    """Stores sent messages in place of a socket."""
 
     def __init__(self):
         self.messages = []
 
     def send(self, raw, ips):
-        """Keep a message for each receiver."""
+        """Store the message for each receiver."""
         message = peer_messages.load(raw)
         self.messages.extend((ip, message) for ip in ips)
 
@@ -45,7 +45,7 @@
     """A gateway with one peer and one engine."""
 
     def setUp(self):
-        """Begin a second after the start, with an idle socket."""
+        """Start with one live peer and an idle socket."""
         self.ticker = clock.ManualClock(100_000)
         now = self.ticker.now
         known = fleet_view.FleetView(now)
@@ -61,12 +61,14 @@
         )
         self.wire = _Wire()
         self.peers._datagrams = self.wire
-        sign = peer_messages.Heartbeat(OTHER, f"{OTHER}:1", "a", True, now())
-        self.peers.table.record_heartbeat(sign)
+        heartbeat = peer_messages.Heartbeat(
+            OTHER, f"{OTHER}:1", "a", True, now()
+        )
+        self.peers.table.record_heartbeat(heartbeat)
         self.peers._cell_membership.update([OTHER])
 
     def begin(self, cost_ms):
-        """Begin a prompt and tell it."""
+        """Begin a prompt and announce it."""
         job = self.endpoints.state(ENGINE).begin_prompt(1, cost_ms)
         self.peers.announce_prompt(job)
 
@@ -77,13 +79,13 @@
             for _, message in self.wire.messages
         ]
 
-    def test_it_is_told_before_anything_else_can_be_sent(self):
-        # The body of a long prompt fills the link.  A datagram behind it is
-        # lost, and other gateways take the engine for idle.
+    def test_a_prompt_is_announced_before_its_body_is_sent(self):
+        # The body of a long prompt saturates the link.  A datagram sent after
+        # it is lost, and other gateways take the engine for idle.
         self.begin(300.0)
         self.assertEqual(self.jobs_told(), [1])
 
-    def test_a_long_prompt_is_told_again(self):
+    def test_a_long_prompt_is_announced_again(self):
         self.begin(300.0)
         self.peers._send()
         self.assertEqual(self.jobs_told(), [1])
@@ -93,8 +95,8 @@
         self.peers._send()
         self.assertEqual(self.jobs_told(), [1, 1])
 
-    def test_prompts_at_once_are_told_together(self):
-        # Each told by itself, a burst would send hundreds of datagrams.
+    def test_simultaneous_prompts_share_a_datagram(self):
+        # Announced one by one, a burst would send hundreds of datagrams.
         for _ in range(5):
             self.begin(5.0)
         self.assertEqual(self.jobs_told(), [1])
@@ -104,9 +106,9 @@
 
 
 class Forged(unittest.TestCase):
-    """Datagrams from whoever sends to the port."""
+    """Forged datagrams from hosts that are not gateways."""
 
-    def test_numbers_without_end_do_not_end_the_process(self):
+    def test_infinite_numbers_do_not_end_the_process(self):
         now = clock.ManualClock(100_000).now
         known = fleet_view.FleetView(now)
         known.endpoint_by_id = {"e1": ENGINE}
@@ -118,8 +120,8 @@
             crash_guard.CrashGuard(now),
             cell_membership.CellMembership(SETTINGS, known),
         )
-        sign = ["10.0.0.2", "", "a", True, 0]
-        state = {"sign": sign, "work": {}, "away": {}}
+        heartbeat = ["10.0.0.2", "", "a", True, 0]
+        state = {"sign": heartbeat, "work": {}, "away": {}}
         endless = float("inf")
         for message in (
             {"kept": [["p", "e1", endless, 0]]},
--- a/tests/integration/test_gateway_cache_sync.py
+++ b/tests/integration/test_gateway_cache_sync.py
@@ -1,4 +1,4 @@
-"""Gateways that learn what engines keep in their caches."""
+"""Gateways that synchronise their cache views with engines."""
 
 import time
 
@@ -24,7 +24,7 @@
 
 
 class GatewayCachesTest(gateway_base.GatewayCase):
-    """Two engines that decode, of which the second one is warm."""
+    """Two decode engines, of which the second has a warm cache."""
 
     def setUp(self):
         """Publish one route, and register the engines."""
--- a/tests/integration/test_gateway_peers.py
+++ b/tests/integration/test_gateway_peers.py
@@ -1,4 +1,4 @@
-"""Two gateways that know one another."""
+"""Two gateways that exchange heartbeats and updates."""
 
 import json
 import socket
@@ -21,7 +21,7 @@
         self.publish(route("look", "app", "safe"))
 
     def both(self):
-        """Start two gateways and wait until they have heard each other."""
+        """Start two gateways and wait until each lists the other."""
         fronts = [
             self.start_without_waiting("gateway-1", "127.0.0.1"),
             self.start_without_waiting("gateway-2", "127.0.0.2"),
@@ -51,8 +51,8 @@
         self.assertLess(time.monotonic() - start, 2.5)
 
     def test_foreign_datagrams_change_nothing(self):
-        # Something else sends to the gateways' port.  Were one datagram to
-        # end the task that reads them, the process would end with it.
+        # Another program sends to the gateways' port.  An uncaught error in
+        # one datagram would end the receiving task and the process.
         self.endpoint("one", lambda _e, request: [scripted.answer(request)])
         first, _ = self.both()
         sign = ["127.0.0.8", "x", "a", 1, 0]
@@ -91,9 +91,8 @@
         return time.monotonic() - start
 
     def test_changes_reach_those_that_do_not_read(self):
-        # One gateway reads the store and tells the other.  Both must have a
-        # change in force in time, also when the reader has just died and
-        # nobody knows it yet.
+        # One gateway reads the store and updates the other.  Both must apply
+        # a change in time, also if the reader died and is not missed yet.
         self.endpoint("one", lambda _e, request: [scripted.answer(request)])
         fronts = self.both()
         bringup.wait_until(
@@ -124,8 +123,8 @@
 
     def test_a_request_that_crashes_endpoints_is_known_to_all(self):
         # One request crashes each endpoint that runs it, and its caller
-        # sends it again through every gateway.  Unmarked it would take the
-        # whole service down.
+        # retries it at every gateway.  Without crash records shared between
+        # gateways it would take the whole service down.
         def script(_endpoint, request):
             if request.body == b"poison":
                 yield scripted.RESET
