--- a/tests/policy/test_replay.py
+++ b/tests/policy/test_replay.py
@@ -16,21 +16,21 @@
 
 
 class RegressionTest(unittest.TestCase):
-    """What the policy must not fall back behind."""
+    """Goodput that the policy must not fall below."""
 
     def setUp(self):
         """Find the strategies by name."""
         self.by_name = {s.name: s for s in strategies.strategies(6)}
 
-    def test_it_does_no_harm(self):
+    def test_swings_cost_no_goodput(self):
         """On a swing the policy is within 2% of changing nothing."""
         for name in ("step", "swing_240"):
             own = goodput(name, self.by_name["policy"])
             none = goodput(name, self.by_name["no changes"])
             self.assertGreaterEqual(own.goodput, none.goodput - 0.02)
 
-    def test_it_beats_the_threshold_with_half_its_changes(self):
-        """The reactive baseline follows every swing."""
+    def test_goodput_beats_the_threshold_with_half_its_changes(self):
+        """The reactive baseline changes roles at every swing."""
         own = goodput("swing_240", self.by_name["policy"])
         other = goodput("swing_240", self.by_name["threshold"])
         self.assertGreater(own.goodput, other.goodput)
@@ -42,13 +42,13 @@
         bare = goodput("overload", self.by_name["least open"])
         self.assertGreater(own.goodput, bare.goodput * 2)
 
-    def test_silent_reports_refuse_little(self):
-        """For a minute no load report arrives; the engines are well."""
+    def test_missing_reports_cost_little_goodput(self):
+        """For a minute no load report arrives; the engines are healthy."""
         own = goodput("silent", self.by_name["policy"])
         bare = goodput("silent", self.by_name["least open"])
         self.assertGreater(own.goodput, bare.goodput - 0.01)
 
-    def test_a_flood_hurts_its_sender(self):
+    def test_a_flooding_caller_costs_others_little(self):
         """The other callers keep most of their answers."""
         own = goodput("flooding", self.by_name["policy"])
         self.assertGreater(own.good_others, 0.85)
--- a/tests/policy/test_roles.py
+++ b/tests/policy/test_roles.py
@@ -1,4 +1,4 @@
-"""Role changes: floors, one at a time, and none without a reason."""
+"""Role changes: minimum counts, one at a time, none without a gain."""
 
 import unittest
 
@@ -33,7 +33,9 @@
     """What a proposal may be."""
 
     @hypothesis.given(ENGINES, DEMAND, DEMAND, SHORTFALL)
-    def test_floors_hold(self, engines, short, long, missed):
+    def test_each_kind_of_work_keeps_an_engine(
+        self, engines, short, long, missed
+    ):
         """Each kind of work keeps an engine that can do it."""
         before = roles.count_roles(engines)
         able = before["mixed"] + min(before["prefill"], before["decode"])
@@ -49,45 +51,45 @@
 
     @hypothesis.given(ENGINES, DEMAND, DEMAND, SHORTFALL)
     def test_one_change_at_a_time(self, engines, short, long, missed):
-        """While an engine is away no other is taken."""
+        """While an engine is unavailable no other is changed."""
         engines[0] = engines[0]._replace(is_unavailable=True)
         self.assertIsNone(propose(engines, short, long, missed))
 
     @hypothesis.given(ENGINES, DEMAND, DEMAND)
-    def test_what_meets_its_targets_is_left_alone(self, engines, short, long):
-        """Without a miss no change can gain anything."""
+    def test_nothing_changes_while_targets_are_met(self, engines, short, long):
+        """Without misses no change can gain anything."""
         self.assertIsNone(propose(engines, short, long, 0.0))
 
     @hypothesis.given(ENGINES, DEMAND, DEMAND, SHORTFALL)
-    def test_a_dearer_change_is_made_no_more_often(
+    def test_a_higher_price_never_adds_a_change(
         self, engines, short, long, missed
     ):
-        """The Groupement's price only ever stops changes."""
+        """The price that operators publish only ever prevents changes."""
         dear = POLICY._replace(change_price=50.0)
         if propose(engines, short, long, missed, dear) is not None:
             self.assertIsNotNone(propose(engines, short, long, missed))
 
     @hypothesis.given(DEMAND, st.integers(1, 8))
     def test_more_engines_never_serve_less(self, demand, count):
-        """Another mixed engine is never a loss."""
+        """Another mixed engine never reduces what is served."""
         few = {"mixed": count, "prefill": 0, "decode": 0}
         more = {"mixed": count + 1, "prefill": 0, "decode": 0}
         self.assertGreaterEqual(
             roles.served(more, demand) + 1e-6, roles.served(few, demand)
         )
 
-    def test_a_lasting_prompt_heavy_mix_is_followed(self):
+    def test_a_lasting_prompt_heavy_mix_changes_a_role(self):
         """Six mixed engines miss a third of a steady flood of prompts."""
         engines = [roles.EngineView(f"e{n}", "mixed") for n in range(6)]
         demand = roles.Demand(5.5, 0.6, 10.0)
         proposal = propose(engines, demand, demand, 0.35)
         self.assertIsNotNone(proposal)
 
-    def test_useless_changes_make_it_patient(self):
+    def test_changes_without_effect_are_delayed_ever_longer(self):
         """The mix swings faster than changes pay.
 
-        Each change leaves the misses where they were, and the next one
-        must wait longer; otherwise engines go back and forth for nothing.
+        No change reduces the misses.  Unless each one is delayed longer than
+        the last, engines change back and forth without a gain.
         """
         engines = [roles.EngineView(f"e{n}", "mixed") for n in range(6)]
         plan = roles.ModelPlan(0)
--- a/tests/policy/test_routing.py
+++ b/tests/policy/test_routing.py
@@ -38,11 +38,11 @@
 
 
 class ChooseTest(unittest.TestCase):
-    """Whatever the reports say, the choice is sound."""
+    """Properties of the choice for any reports."""
 
     @hypothesis.given(CANDIDATES, WORK, DRAW)
     def test_the_choice_is_nearly_the_best(self, candidates, work, draw):
-        """Nothing much better is left out, unless prefixes say so."""
+        """Without preferred engines the choice ranks close to the best."""
         choice = routing.choose(candidates, work, draw)
         rank_by_id = {c.id: routing.rank(c, work) for c in candidates}
         best = min(rank_by_id.values())
@@ -52,9 +52,9 @@
 
     @hypothesis.given(CANDIDATES, WORK, DRAW)
     def test_affinity_never_costs_the_target(self, candidates, work, draw):
-        """A preferred engine is taken only well within the target."""
-        liked = (candidates[0].id,)
-        choice = routing.choose(candidates, work, draw, liked)
+        """A preferred engine is chosen only well within the target."""
+        preferred = (candidates[0].id,)
+        choice = routing.choose(candidates, work, draw, preferred)
         plain = routing.choose(candidates, work, draw)
         self.assertLessEqual(
             choice.score,
@@ -77,7 +77,7 @@
 
     @hypothesis.given(CANDIDATES, WORK, DRAW)
     def test_a_split_keeps_to_the_roles(self, candidates, work, draw):
-        """Prompts go to prefill engines and tokens to the others."""
+        """Prefill goes to prefill engines and decode to the others."""
         split = routing.choose_split(candidates, work, draw, 1.0)
         role_by_id = {c.id: c.role for c in candidates}
         roles = set(role_by_id.values())
@@ -88,11 +88,13 @@
             self.assertNotEqual("prefill", role_by_id[split.decode.id])
 
     @hypothesis.given(CANDIDATES, WORK, DRAW, st.integers(0, 10**7))
-    def test_old_reports_refuse_nothing(self, candidates, work, draw, age):
+    def test_the_age_of_reports_does_not_change_the_score(
+        self, candidates, work, draw, age
+    ):
         """All load reports stop, and only the reports.
 
-        An engine that was well then must not look too busy to take work
-        merely because time has passed.
+        An engine that had capacity then must not seem too busy to admit work
+        only because its report is old.
         """
         fresh = [c._replace(report_age_ms=0) for c in candidates]
         old = [c._replace(report_age_ms=age) for c in candidates]
@@ -101,7 +103,7 @@
             routing.choose(old, work, draw).score,
         )
 
-    def test_nothing_to_choose_from(self):
+    def test_no_candidates_give_no_choice(self):
         """Without candidates there is no choice."""
         work = routing.Work(1, 1, 1)
         self.assertIsNone(routing.choose([], work, 0.5))
--- a/tests/policy/test_stages.py
+++ b/tests/policy/test_stages.py
@@ -1,4 +1,4 @@
-"""How many engines read prompts, as a pure decision."""
+"""How many engines prefill and how many decode."""
 
 import unittest
 
@@ -28,15 +28,15 @@
 class Plan(unittest.TestCase):
     """``plan`` on fleets of the deployments' sizes."""
 
-    def test_half_read_before_there_is_load(self):
+    def test_half_of_the_engines_prefill_without_load(self):
         fleet = [engine("a", True), engine("b", True)]
         fleet += [engine(name, False) for name in "cdef"]
         change = stages.plan(fleet)
         self.assertEqual((change.id, change.prefill), ("c", True))
 
-    def test_fewer_read_where_slots_are_few(self):
-        # An engine with 16 slots is full of streams while half of the fleet
-        # that reads prompts is idle, and callers are refused.
+    def test_fewer_engines_prefill_where_slots_are_few(self):
+        # Engines with 16 slots are full of streams while the half of the fleet
+        # that prefills is idle, and callers are refused.
         for slots, expected in ((96, True), (16, False)):
             fleet = [
                 engine(str(n), prefill=n < 4, slots=slots) for n in range(10)
@@ -45,38 +45,38 @@
             self.assertEqual(change is not None, expected)
 
     def test_nothing_changes_while_streams_need_the_slots(self):
-        # A change takes an engine away for three seconds.  Made in the
-        # middle of a burst, it makes everybody late.
+        # A change makes an engine unavailable for three seconds.  During a
+        # burst it makes all answers late.
         fleet = [engine("a", True), engine("b", True)]
         fleet += [engine(name, False, streams=40) for name in "cdef"]
         self.assertIsNone(stages.plan(fleet))
 
-    def test_full_slots_get_an_engine_back_if_that_lasts(self):
+    def test_an_engine_changes_to_decode_if_slots_stay_full(self):
         fleet = [engine(name, True) for name in "abc"]
         fleet += [engine(name, False, streams=95) for name in "def"]
         change = stages.plan(fleet)
         self.assertFalse(change.prefill)
         self.assertGreater(change.lasting_ms, stages.LASTING_MS)
 
-    def test_an_engine_is_given_back_after_a_decoding_one_was_lost(self):
-        # One of two decoding engines is lost for good.  The other is full,
-        # three read prompts for it, and callers are refused although the
-        # fleet could serve them.
+    def test_an_engine_changes_to_decode_after_the_loss_of_one(self):
+        # One of two decode engines is lost for good.  The other is full, three
+        # engines prefill for it, and callers are refused although the fleet
+        # could serve them.
         fleet = [engine(name, True) for name in "abc"]
         fleet.append(engine("d", False, streams=80))
         change = stages.plan(fleet)
         self.assertFalse(change.prefill)
         self.assertEqual(change.lasting_ms, stages.LASTING_MS)
 
-    def test_a_stage_that_nobody_has_is_filled(self):
-        only_reading = stages.plan([engine(name, True) for name in "ab"])
-        self.assertFalse(only_reading.prefill)
-        only_decoding = stages.plan([engine(name, False) for name in "ab"])
-        self.assertTrue(only_decoding.prefill)
+    def test_an_empty_stage_gets_an_engine(self):
+        only_prefill = stages.plan([engine(name, True) for name in "ab"])
+        self.assertFalse(only_prefill.prefill)
+        only_decode = stages.plan([engine(name, False) for name in "ab"])
+        self.assertTrue(only_decode.prefill)
 
     @hypothesis.given(ENGINES)
     @hypothesis.settings(derandomize=True, max_examples=300)
-    def test_no_change_empties_a_stage_that_was_filled(self, fleet):
+    def test_no_change_empties_a_stage(self, fleet):
         change = stages.plan(fleet)
         if change is None:
             return
@@ -84,17 +84,19 @@
             e._replace(prefill=change.prefill) if e.id == change.id else e
             for e in fleet
         ]
-        decoded = sum(not e.prefill and not e.unreachable for e in fleet)
-        decode = sum(not e.prefill and not e.unreachable for e in after)
-        self.assertFalse(decoded and not decode)
-        reading = sum(e.prefill for e in fleet)
-        read = sum(e.prefill for e in after)
-        # Without a decoding engine nothing is served; one reads prompts too.
-        self.assertFalse(reading and not read and decoded)
+        decode_before = sum(not e.prefill and not e.unreachable for e in fleet)
+        decode_after = sum(not e.prefill and not e.unreachable for e in after)
+        self.assertFalse(decode_before and not decode_after)
+        prefill_before = sum(e.prefill for e in fleet)
+        prefill_after = sum(e.prefill for e in after)
+        # Without a decode engine nothing is served; it can prefill too.
+        self.assertFalse(
+            prefill_before and not prefill_after and decode_before
+        )
 
     @hypothesis.given(ENGINES)
     @hypothesis.settings(derandomize=True, max_examples=300)
-    def test_changes_in_a_lull_come_to_an_end(self, fleet):
+    def test_changes_without_load_come_to_an_end(self, fleet):
         fleet = [e._replace(streams=0) for e in fleet]
         for _ in range(len(fleet) + 1):
             change = stages.plan(fleet)
@@ -104,31 +106,31 @@
                 e._replace(prefill=change.prefill) if e.id == change.id else e
                 for e in fleet
             ]
-        self.fail("the plan never rests")
+        self.fail("the plan proposes changes without end")
 
 
-class Lost(unittest.TestCase):
+class Unreachable(unittest.TestCase):
     """``plan`` while engines don't answer."""
 
-    def test_the_loss_of_the_last_decoding_engine_is_made_up_for_at_once(self):
+    def test_the_last_decode_engine_is_replaced_at_once(self):
         fleet = [engine("a", True, 9), engine("b", True, 3)]
         fleet.append(engine("c", False)._replace(unreachable=True))
         change = stages.plan(fleet)
         self.assertEqual((change.id, change.prefill), ("b", False))
         self.assertLess(change.lasting_ms, stages.LASTING_MS)
 
-    def test_the_last_engine_that_answers_decodes(self):
+    def test_the_last_reachable_engine_decodes(self):
         fleet = [
             engine("a", True),
             engine("b", False)._replace(unreachable=True),
         ]
         self.assertEqual(stages.plan(fleet).id, "a")
 
-    def test_an_engine_that_is_left_alone_decodes(self):
+    def test_a_single_engine_decodes(self):
         change = stages.plan([engine("a", True)])
         self.assertEqual((change.id, change.prefill), ("a", False))
         self.assertIsNone(stages.plan([engine("a", False)]))
 
-    def test_nothing_changes_while_no_engine_answers(self):
+    def test_nothing_changes_while_all_engines_are_unreachable(self):
         fleet = [engine(n, n == "a")._replace(unreachable=True) for n in "abc"]
         self.assertIsNone(stages.plan(fleet))
