--- a/tests/gateway/test_lease.py
+++ b/tests/gateway/test_lease.py
@@ -16,12 +16,12 @@
     """The topic of leases, shared by all claimants of a test."""
 
     def __init__(self):
-        """Begin without a claim."""
+        """Start without a claim."""
         self.records = []
         self.lose_answer = False
 
     async def newest(self, _topic):
-        """Return the claim that stands."""
+        """Return the newest claim."""
         found = tuple(self.records[-1:])
         return store.Batch(found, len(self.records))
 
@@ -63,7 +63,7 @@
         for ticker in self.clocks:
             ticker.advance(ms)
 
-    def test_who_saw_a_claim_stand_need_not_wait_when_its_holder_is_gone(self):
+    def test_time_that_a_claim_was_seen_counts_towards_the_wait(self):
         self.assertTrue(self.claim(self.first))
         anyio.run(self.second.refresh)
         self.advance(self.second._takeover_wait_ms - 1)
@@ -71,7 +71,7 @@
         self.advance(1)
         self.assertTrue(self.claim(self.second))
 
-    def test_a_claim_that_was_renewed_meanwhile_is_waited_out(self):
+    def test_renewed_claim_restarts_the_wait_of_one_that_saw_it(self):
         self.assertTrue(self.claim(self.first))
         anyio.run(self.second.refresh)
         self.advance(self.second._takeover_wait_ms - 1)
@@ -80,9 +80,8 @@
         self.assertFalse(self.claim(self.second))
 
     def test_second_claimant_waits_out_the_first(self):
-        # Engines that ignore fencing tokens obey whoever orders.  Two
-        # holders within three seconds could give one engine conflicting
-        # orders.
+        # One engine gets conflicting orders from two holders within three
+        # seconds, as an engine that ignores fencing tokens obeys both.
         self.assertTrue(self.claim(self.first))
         self.assertFalse(self.claim(self.second))
         self.advance(lease.LEASE_MS)
@@ -92,7 +91,7 @@
         self.assertTrue(self.claim(self.second))
         self.assertGreater(self.second.token, self.first.token)
 
-    def test_renewal_makes_the_other_wait_anew(self):
+    def test_renewal_restarts_the_wait_of_another_claimant(self):
         self.claim(self.first)
         self.claim(self.second)
         self.advance(lease.LEASE_MS)
@@ -101,16 +100,16 @@
         self.assertFalse(self.claim(self.second))
 
     def test_lease_ends_while_the_machine_is_suspended(self):
-        # The monotonic clock stands still while a machine is suspended.  A
-        # holder that wakes would still believe in its lease while another
-        # gateway has it already.
+        # A holder that resumes still uses its lease although another gateway
+        # holds it already, since the monotonic clock stops while a machine
+        # is suspended.
         self.claim(self.first)
         self.clocks[0].suspended += lease.LEASE_MS
         self.assertFalse(self.first.is_held())
 
     def test_claim_without_an_answer_is_not_held(self):
-        # The answer of the store is lost.  The claim may have been written
-        # or may be written seconds later, so nothing is ordered on it.
+        # A gateway sends orders on a claim that the store may not have
+        # written, or may write seconds later, because its answer was lost.
         self.store.lose_answer = True
         with self.assertRaises(errors.LogUnavailable):
             self.claim(self.first)
--- a/tests/gateway/test_lease_holders.py
+++ b/tests/gateway/test_lease_holders.py
@@ -1,4 +1,4 @@
-"""Leases over instances that restart, sleep and lose the store's answers."""
+"""Leases of instances that restart, are suspended or miss answers."""
 
 import json
 import unittest
@@ -16,8 +16,8 @@
     "i", "10.0.0.1", "a", "", "", "", 1, "10.0.0.9:1", domain.Bounds()
 )
 INSTANCES = 2
-# How long an order may be on its way to an engine.
-ON_ITS_WAY_MS = 1_000
+# How long an order may be in transit to an engine.
+ORDER_TRANSIT_MS = 1_000
 
 INSTANCE = strategies.integers(0, INSTANCES - 1)
 ANSWER = strategies.sampled_from(["told"] * 9 + ["lost", "late", "refused"])
@@ -39,7 +39,7 @@
         return store.Batch(found, len(self.records))
 
     async def append(self, _topic, key, value, at):
-        """Append now, later or never, and tell or not."""
+        """Append now, later or never, with or without an answer."""
         if self.answer == "refused":
             raise errors.LogUnavailable("refused")
         if self.answer == "late":
@@ -56,13 +56,13 @@
         self.records.append(store.Record(key, value, at))
         return at
 
-    def carry_out_late(self):
+    def execute_late_append(self):
         """Carry out the oldest append that was late."""
         if self.late:
             self._append(*self.late.pop(0))
 
     def holder(self):
-        """Return the instance whose claim stands, or ``None``."""
+        """Return the instance with an unreleased claim, or ``None``."""
         if not self.records:
             return None
         data = json.loads(self.records[-1].value)
@@ -70,7 +70,7 @@
 
 
 class Holders:
-    """Two instances that order one engine whenever they may."""
+    """Two instances that order one engine whenever they hold the lease."""
 
     def __init__(self):
         """Start all instances."""
@@ -117,19 +117,19 @@
                 ticker.advance(by)
 
     def restart(self, number):
-        """End the process of an instance; the next one looks at its start."""
+        """Restart an instance; its new process reads the claim at once."""
         self.leases[number] = self.started(number)
         self.call(self.leases[number].refresh)
 
-    def claim_and_order(self, number, answer, pause, slept):
+    def claim_and_order(self, number, answer, pause, suspended_ms):
         """Claim, pause, and order the engine if the lease is still held."""
         self.call(self.leases[number].claim, answer)
         self.pass_time(pause)
-        self.suspend(number, slept)
+        self.suspend(number, suspended_ms)
         self.order_if_held(number)
 
     def release_and_order(self, number, answer, pause):
-        """Release, whatever becomes of the answer, and order if still held."""
+        """Release with the given answer, and order if still held."""
         self.pass_time(pause)
         self.call(self.leases[number].release, answer)
         self.order_if_held(number)
@@ -146,7 +146,7 @@
         pairs = zip(self.orders, self.orders[1:], strict=False)
         return min(
             (
-                after - before - ON_ITS_WAY_MS
+                after - before - ORDER_TRANSIT_MS
                 for (before, first), (after, second) in pairs
                 if first != second
             ),
@@ -174,7 +174,7 @@
 
 
 class TwoHolders(unittest.TestCase):
-    """What holds whatever two instances do and whenever they end."""
+    """Invariants for any actions and restarts of two instances."""
 
     @hypothesis.settings(max_examples=600, deadline=None, derandomize=True)
     @hypothesis.given(STEPS)
@@ -182,7 +182,7 @@
         holders = Holders()
         for action, *values in steps:
             action(holders, *values)
-            holders.store.carry_out_late()
+            holders.store.execute_late_append()
         self.assertGreaterEqual(
             holders.shortest_order_interval_ms(),
             SETTINGS.bounds.order_interval_ms,
@@ -212,5 +212,5 @@
         slow = SlowStore()
         slow.late.append(("k", b"late", 0))
         slow._append("k", b"first", 0)
-        slow.carry_out_late()
+        slow.execute_late_append()
         self.assertEqual(len(slow.records), 1)
--- a/tests/gateway/test_stage_manager.py
+++ b/tests/gateway/test_stage_manager.py
@@ -21,7 +21,7 @@
 REFUSED = client.LinkBroken(
     verdicts.Progress.NEVER_CONNECTED, "refused", absent=True
 )
-DARK = client.LinkBroken(verdicts.Progress.NEVER_CONNECTED, "no answer")
+NO_ANSWER = client.LinkBroken(verdicts.Progress.NEVER_CONNECTED, "no answer")
 RESET = client.LinkBroken(verdicts.Progress.SENT_WHOLE, "reset")
 
 
@@ -32,21 +32,21 @@
     has_unreleased_claim = True
 
     def is_held(self):
-        """Tell that it is held."""
+        """Return that it is held."""
         return True
 
     def record_order(self):
-        """Note nothing."""
+        """Record nothing."""
 
     async def refresh(self):
-        """See nothing."""
+        """Read nothing."""
 
     async def release(self):
         """Release nothing."""
 
 
 class StageManagerTest(unittest.TestCase):
-    """The stage manager of one gateway, alone with some engines."""
+    """The stage manager of a single gateway with some engines."""
 
     def setUp(self):
         """Make a manager that knows no engine yet."""
@@ -72,7 +72,7 @@
         )
         self.manager._lease = FakeLease()
         self.manager._send_request = self.answer
-        # What asking for a report and ordering do, by engine.
+        # Answers to report requests and orders, by engine id.
         self.report_by_id = {}
         self.order_by_id = {}
         self.ordered = []
@@ -99,13 +99,13 @@
         return messages.Head(answer, b"", ()), b""
 
     def poll_for(self, ms):
-        """Let the manager look as often as it does in so many ms."""
+        """Poll as often as the manager does in ``ms``."""
         for _ in range(ms // stage_manager.POLL_INTERVAL_MS):
             self.clock.advance(stage_manager.POLL_INTERVAL_MS)
             anyio.run(self.manager.poll)
 
     def test_an_engine_that_refuses_connections_delays_no_other_order(self):
-        for failure in (REFUSED, DARK, TimeoutError()):
+        for failure in (REFUSED, NO_ANSWER, TimeoutError()):
             with self.subTest(failure=repr(failure)):
                 self.setUp()
                 self.engine("a", domain.PREFILL, failure)
@@ -131,21 +131,23 @@
         self.poll_for(4_000)
         self.assertEqual(self.ordered, ["a"])
 
-    def test_an_engine_on_its_way_to_decode_gets_no_company(self):
+    def test_no_second_engine_is_ordered_while_one_changes_to_decode(self):
         self.engine("a", domain.PREFILL)
         self.engine("b", domain.PREFILL)
         self.poll_for(4_000)
         self.assertEqual(self.ordered, ["a"])
 
     def test_an_engine_that_could_not_be_asked_is_tried_again(self):
-        self.engine("a", domain.PREFILL, DARK)
+        self.engine("a", domain.PREFILL, NO_ANSWER)
         self.poll_for(1_000)
         self.report_by_id["a"] = {"sequence": 0}
         self.poll_for(2 * stage_manager.UNREACHABLE_COOLDOWN_MS)
         self.assertEqual(self.ordered, ["a"])
 
     def test_an_order_that_is_carried_out_is_not_given_again(self):
-        # The gateway that gave it has ended, and the record is an old one.
+        # An order that an engine is executing starts over when it is sent
+        # again by another gateway, which sees an old record of the engine
+        # after the first gateway has ended.
         self.engine("a", domain.PREFILL, {"sequence": 1, "busy": True})
         self.engine("b", domain.PREFILL)
         self.poll_for(2_000)
--- a/tests/gateway/test_topic_followers.py
+++ b/tests/gateway/test_topic_followers.py
@@ -1,4 +1,4 @@
-"""Gateways that tell each other what they read of the store."""
+"""Gateways that send each other what they read from the store."""
 
 import json
 import unittest
@@ -143,10 +143,10 @@
     def test_the_listener_believes_what_the_reader_does(
         self, rounds, pages_after_end, first, second
     ):
-        # Heartbeats are not told, datagrams get lost, records lapse in
-        # outages, and pages of the newest records may be newer than the end
-        # that they name.  A listener that missed a record would send work
-        # to an engine that left long ago, or drop one that lives.
+        # A listener that misses a record sends work to an engine that left
+        # long ago, or drops one that is running.  Heartbeats are not sent on,
+        # datagrams get lost, records expire in outages, and pages of the
+        # newest records may be newer than the end offset that they name.
         self.log = _Topic()
         self.write_all(first)
         listener = _Gateway(self.log, self.clock.now)
@@ -175,10 +175,10 @@
         self.assertEqual(listener.known, reader.known)
 
     def test_a_record_of_an_earlier_life(self):
-        # The last words of an engine's earlier process arrive after the new
-        # one began.  A gateway that starts then takes them for the newest.
-        # If it weren't told of the next heartbeat, which changes nothing
-        # for the others, it would leave out a sound engine for good.
+        # A gateway leaves out a healthy engine for good.  The last record of
+        # the engine's earlier process arrives after the new one started, and
+        # a gateway that starts then takes it for the newest.  The next
+        # heartbeat changes nothing for others but must be sent to it.
         self.log.write("e1", "ready", born=2)
         reader = _Gateway(self.log, self.clock.now)
         reader.step()
@@ -215,7 +215,8 @@
         self.assertTrue(listener.known["e1"].draining)
 
     def test_a_gap_is_read_and_not_guessed(self):
-        # More messages were lost than one covers.
+        # A draining engine stays in use after more updates were lost than the
+        # next one covers.
         self.log.write("e1", "ready")
         reader, listener = self.pair()
         self.log.write("e1", "draining")
@@ -232,7 +233,8 @@
         self.assertTrue(listener.known["e1"].draining)
 
     def test_a_change_too_large_to_tell_is_read(self):
-        # A configuration of 1,400 routes fits into no datagram.
+        # A configuration of 1,400 routes fits into no datagram, so the
+        # update has to make the receivers read it.
         row = store.Record("config", b"x" * topic_updates.MAX_BYTES, 4)
         recent_reads = topic_updates.RecentReads(records.CONFIGURATION_TOPIC)
         update = recent_reads.add(4, 5, [row], 0)
@@ -245,9 +247,8 @@
     )
     @hypothesis.settings(derandomize=True)
     def test_news_is_small_whatever_was_read(self, sizes):
-        # The reader's machine has a link of 5 Mbit/s and 63 listeners.
-        # While it sends them a large message nothing else gets out, and
-        # callers of that gateway see it stand still.
+        # Callers of the reading gateway get no data while it sends a large
+        # update to 63 listeners over a link of 5 Mbit/s.
         recent_reads = topic_updates.RecentReads(records.CONFIGURATION_TOPIC)
         for offset, size in enumerate(sizes):
             row = store.Record("config", b"x" * size, offset)
@@ -256,9 +257,8 @@
             self.assertLess(len(raw), 2_000)
 
     def test_of_many_configurations_only_the_newest_is_decoded(self):
-        # A configuration of 1,400 routes takes milliseconds to decode, and
-        # operators may write 25 of them within two seconds.  Meanwhile
-        # callers of this gateway would wait.
+        # Callers wait while configurations are decoded: one of 1,400 routes
+        # takes milliseconds, and operators may write 25 within two seconds.
         known = fleet_view.FleetView(self.clock.now)
         follower = topic_followers.configuration_follower(
             SETTINGS, self.clock.now, known
@@ -273,14 +273,14 @@
             records, "configuration", wraps=records.configuration
         ) as decode:
             anyio.run(follower._step)
-        # The newest can't be read, so the one before it is in force.
+        # The newest is invalid, so the one before it is active.
         self.assertEqual(known.configuration.version, 24)
         self.assertEqual(decode.call_count, 2)
 
     def test_what_lapsed_in_an_outage_stays_for_the_listener_too(self):
-        # Only the reader sees that the store was away.  A listener that
-        # isn't told of it drops each engine whose record lapsed, and
-        # refuses all work until they are back.
+        # A listener drops each engine whose record expired in an outage and
+        # refuses all work until they are back, if the reader, which alone
+        # sees the outage, does not announce it.
         self.log.write("e1", "ready")
         reader, listener = self.pair()
         reader.follower._record_failure(errors.LogUnavailable("down"))
@@ -294,9 +294,9 @@
         self.assertNotIn("e1", listener.known)
 
     def test_a_store_away_for_one_gateway_only(self):
-        # The store turns one gateway away.  Told by others all the while,
-        # it missed nothing, so an engine that leaves then is dropped at
-        # once and gets no two seconds more of work.
+        # An engine that left gets work for two more seconds from a gateway
+        # that the store refused.  Updates from peers kept that gateway
+        # current, so it must drop the engine at once.
         self.log.write("e1", "ready")
         reader, cut_off = self.pair()
         cut_off.follower._record_failure(errors.LogUnavailable("busy"))
--- a/tests/integration/__init__.py
+++ b/tests/integration/__init__.py
@@ -1,1 +1,1 @@
-"""Tests with real processes on loopback."""
+"""Tests with real processes on the loopback interface."""
