--- a/clementinewall/endpoints/attempt.py
+++ b/clementinewall/endpoints/attempt.py
@@ -20,14 +20,14 @@
     httpx.PoolTimeout,
     httpx.UnsupportedProtocol,
 )
-_IN_PART = (httpx.WriteError, httpx.WriteTimeout)
+_SENT_IN_PART = (httpx.WriteError, httpx.WriteTimeout)
 
 
 def progress_of(exc):
     """Return how far an attempt came that ended in ``exc``."""
     if isinstance(exc, _NEVER_CONNECTED):
         return verdicts.Progress.NEVER_CONNECTED
-    if isinstance(exc, _IN_PART):
+    if isinstance(exc, _SENT_IN_PART):
         return verdicts.Progress.SENT_IN_PART
     return verdicts.Progress.SENT_WHOLE
 
--- a/clementinewall/endpoints/sse.py
+++ b/clementinewall/endpoints/sse.py
@@ -11,7 +11,7 @@
 
 from clementinewall import errors
 
-EVENT_LIMIT = 1_000_000
+MAX_EVENT_BYTES = 1_000_000
 DONE = b"[DONE]"
 
 
@@ -33,19 +33,19 @@
 
     def __init__(self):
         """Start with nothing buffered."""
-        self._rest = b""
+        self._incomplete = b""
 
     def feed(self, piece):
         """Return the events that are whole after ``piece``.
 
-        :raises EndpointFailed: an event is over ``EVENT_LIMIT`` bytes.
+        :raises EndpointFailed: an event is over ``MAX_EVENT_BYTES`` bytes.
         """
-        data = self._rest + piece
+        data = self._incomplete + piece
         if b"\r" in data:
             # A pair that is cut between its halves stays in the rest.
             data = data.replace(b"\r\n", b"\n")
-        *blocks, self._rest = data.split(b"\n\n")
-        if len(self._rest) > EVENT_LIMIT:
+        *blocks, self._incomplete = data.split(b"\n\n")
+        if len(self._incomplete) > MAX_EVENT_BYTES:
             raise errors.EndpointFailed("an event is too long")
         return [_parse(block) for block in blocks if block]
 
--- a/clementinewall/gateway/cache_sync.py
+++ b/clementinewall/gateway/cache_sync.py
@@ -152,8 +152,8 @@
             cursor.is_asking = False
 
     async def _apply_full_list(self, state, cursor):
-        kept = calls.decode_kept_parts(
-            await self._body(state, calls.kept_parts())
+        kept = calls.decode_cached_parts(
+            await self._body(state, calls.cached_parts_request())
         )
         dropped = 0
         if cursor.epoch is None:
@@ -172,7 +172,7 @@
 
     async def _apply_changes(self, state, cursor):
         body = await self._body(
-            state, calls.cache_changes(cursor.next, CHANGE_WAIT_MS)
+            state, calls.cache_changes_request(cursor.next, CHANGE_WAIT_MS)
         )
         changes = calls.decode_cache_changes(body)
         if changes.epoch != cursor.epoch or changes.is_gap:
@@ -183,7 +183,9 @@
         self._endpoints.apply_cache_changes(state, changes.parts)
 
     async def _body(self, state, request):
-        head, body = await state.pool.ask(request, sending.MAX_ANSWER_BYTES)
+        head, body = await state.pool.send_request(
+            request, sending.MAX_ANSWER_BYTES
+        )
         metrics.count("cache_calls", status=head.status)
         if head.status in UNSUPPORTED_STATUSES:
             raise _Unsupported(f"answered with {head.status}")
--- a/clementinewall/gateway/callers.py
+++ b/clementinewall/gateway/callers.py
@@ -96,7 +96,7 @@
             self.open_requests += 1
             try:
                 await self._serve_request(connection, request)
-            except server.CallerGone:
+            except server.CallerDisconnected:
                 return
             finally:
                 self.open_requests -= 1
@@ -114,7 +114,7 @@
         )
         try:
             await connection.answer(*exchanges.problem(error))
-        except server.CallerGone:
+        except server.CallerDisconnected:
             _log.debug("caller disconnected before the refusal was sent")
         except h11.LocalProtocolError as exc:
             _log.debug("refusal of a malformed request not sent", why=str(exc))
@@ -122,15 +122,15 @@
     async def _serve_request(self, connection, request):
         """Answer one request; cancel it if its caller disconnects."""
         with anyio.CancelScope() as scope:
-            connection.when_gone(scope.cancel)
+            connection.set_close_callback(scope.cancel)
             try:
                 await self._answer(connection, request)
             finally:
-                connection.when_gone(None)
+                connection.set_close_callback(None)
         if scope.cancelled_caught:
-            attempt = request.header(calls.ATTEMPT) or b""
+            attempt = request.header(calls.ATTEMPT_HEADER) or b""
             _log.info("caller gone", request=attempt.decode("latin-1"))
-            raise server.CallerGone
+            raise server.CallerDisconnected
 
     async def _answer(self, connection, request):
         exchange = None
@@ -140,7 +140,7 @@
             await self._run_with_deadline(exchange)
         except errors.ClementinewallError as exc:
             await self._fail(connection, request, exchange, exc)
-        except server.CallerGone:
+        except server.CallerDisconnected:
             connection.close_after_answer()
         except Exception as exc:
             _log.error(
@@ -220,7 +220,7 @@
             route=exchange.route.name,
             taken_after_ms=self._drain.taken_after_ms(exchange),
             waited_ms=exchange.waited_ms,
-            answer_begun=exchange.connection.answered,
+            answer_begun=exchange.connection.answer_started,
         )
         if exchange.sends:
             return errors.Stopped(
@@ -229,7 +229,7 @@
         return errors.Leaving("the instance stopped", retry_after_ms=0)
 
     async def _fail(self, connection, request, exchange, error):
-        attempt = request.header(calls.ATTEMPT) or b""
+        attempt = request.header(calls.ATTEMPT_HEADER) or b""
         metrics.count("failed", code=error.code)
         _log.info(
             "failed",
@@ -239,7 +239,7 @@
             verdict=error.verdict.value,
             why=error.message,
         )
-        if connection.answered:
+        if connection.answer_started:
             # Closing before the end of the body shows the caller that the
             # answer is truncated.
             connection.close_after_answer()
@@ -248,7 +248,7 @@
         head, body = exchanges.problem(error, left_ms)
         try:
             await connection.answer(head, body)
-        except server.CallerGone:
+        except server.CallerDisconnected:
             connection.close_after_answer()
 
 
--- a/clementinewall/gateway/info_server.py
+++ b/clementinewall/gateway/info_server.py
@@ -51,7 +51,7 @@
     def _handle_directory(self, request):
         if request.target.split(b"?")[0] != addresses.PATH:
             return _empty_response(404, b"Not Found")
-        requested = addresses.asked_data_centre(request.target)
+        requested = addresses.requested_data_centre(request.target)
         rows = [
             (peer.data_centre != requested, random.random(), peer.callers)
             for peer in self._peers.table.live()
@@ -62,7 +62,7 @@
             rows.append((own, random.random(), self._settings.callers))
         if not rows:
             return _empty_response(503, b"Service Unavailable")
-        body = addresses.answer(
+        body = addresses.encode_answer(
             [row[2] for row in sorted(rows)], self._ttl_ms()
         )
         head = messages.Head(
@@ -81,7 +81,7 @@
         connection = server.Connection(stream, server.Limits())
         try:
             await _answer_all(connection, handle)
-        except (server.Refused, server.CallerGone) as exc:
+        except (server.Refused, server.CallerDisconnected) as exc:
             _log.debug("request not answered", why=str(exc))
         finally:
             connection.close()
--- a/clementinewall/gateway/plain_relay.py
+++ b/clementinewall/gateway/plain_relay.py
@@ -59,11 +59,11 @@
                 continue
             state.health.record_success()
             self._crash_guard.record_answer(exchange.call)
-            await exchange.connection.answer(calls.forwarded(head), body)
+            await exchange.connection.answer(calls.forwarded_head(head), body)
             return
         if last is not None and last.answer is not None:
             head, body = last.answer
-            await exchange.connection.answer(calls.forwarded(head), body)
+            await exchange.connection.answer(calls.forwarded_head(head), body)
             return
         why = last.why if last else "no endpoint of the service is available"
         raise exchanges.final_error(exchange, why)
@@ -109,7 +109,7 @@
             open=state.open,
             left_ms=left_ms,
         )
-        request = calls.run(exchange.call, state.endpoint, left_ms)
+        request = calls.run_request(exchange.call, state.endpoint, left_ms)
         try:
             with anyio.fail_after(limit):
                 async with sending.send(
@@ -126,7 +126,7 @@
 
     def _checked_answer(self, exchange, sent, body):
         head = sent.head
-        if head.status < 400 and not calls.is_whole_success(head):
+        if head.status < 400 and not calls.is_complete_success(head):
             raise sent.failure(
                 "success response without the endpoint's Server-Stamp"
             )
--- a/clementinewall/gateway/sending.py
+++ b/clementinewall/gateway/sending.py
@@ -81,7 +81,7 @@
     sent = None
     state.begin()
     try:
-        link = await state.pool.take()
+        link = await state.pool.acquire()
         try:
             await link.send(request, silence_timeout_ms)
             head = await _matching_head(call, link, silence_timeout_ms)
@@ -94,7 +94,7 @@
         state.record_response()
         sent = SentRequest(state, link, head)
         _record_load(state, head, now())
-        if calls.says_not_run(head):
+        if calls.reports_not_run(head):
             await sent.read_all()
             failure = sent.failure(
                 f"refused with {head.status}", verdicts.Verdict.NOT_RUN
@@ -138,7 +138,7 @@
 
 
 def _record_load(state, head, now):
-    load = calls.load(head)
+    load = calls.decode_load(head)
     if load is not None:
         state.load = load
         state.load_at = now
@@ -146,6 +146,6 @@
 
 def _release_link(state, link, sent):
     if sent is not None and sent.is_complete:
-        state.pool.give_back(link)
+        state.pool.release(link)
     else:
-        state.pool.drop(link)
+        state.pool.discard(link)
--- a/clementinewall/gateway/stage_manager.py
+++ b/clementinewall/gateway/stage_manager.py
@@ -272,12 +272,12 @@
             self._lease.record_order()
 
     async def _report(self, state):
-        head, report = await self._send_request(state, calls.report())
+        head, report = await self._send_request(state, calls.report_request())
         if head.status != 200:
             raise errors.BadRecord(
                 f"engine report failed: got status {head.status}, expected 200"
             )
-        return calls.engine_report(report)
+        return calls.decode_engine_report(report)
 
     def _handle_busy(self, state, change):
         """Wait for an order that another process has sent.
@@ -360,7 +360,7 @@
         A pooled connection may be dead.  Closing a connection of its own
         discards unsent data, so that an abandoned order can't arrive later.
         """
-        return await state.pool.ask(
+        return await state.pool.send_request(
             request, sending.MAX_ANSWER_BYTES, fresh=True
         )
 
--- a/clementinewall/gateway/stream_answer.py
+++ b/clementinewall/gateway/stream_answer.py
@@ -31,7 +31,7 @@
         if head.status >= 300:
             await self._forward_failure(sent)
             return
-        if not calls.is_whole_success(head):
+        if not calls.is_complete_success(head):
             raise sent.failure(
                 "success response without the engine's Server-Stamp"
             )
@@ -57,7 +57,7 @@
         connection = self._exchange.connection
         if not self.head_sent:
             self.head_sent = True
-            await connection.send_head(calls.forwarded(head))
+            await connection.send_head(calls.forwarded_head(head))
         if data:
             await connection.send_body(data)
 
@@ -69,5 +69,5 @@
                 f"status {sent.head.status}", verdicts.Verdict.RAN, answer
             )
         await self._exchange.connection.answer(
-            calls.forwarded(sent.head), body
+            calls.forwarded_head(sent.head), body
         )
--- a/clementinewall/gateway/stream_relay.py
+++ b/clementinewall/gateway/stream_relay.py
@@ -94,7 +94,7 @@
             return
         if last.answer is not None and not stream.head_sent:
             head, body = last.answer
-            await exchange.connection.answer(calls.forwarded(head), body)
+            await exchange.connection.answer(calls.forwarded_head(head), body)
             return
         raise exchanges.final_error(exchange, last.why)
 
@@ -119,7 +119,7 @@
                 reached=False,
             )
         exchange.tried_ids.add(decode_engine.endpoint.id)
-        request = calls.run(
+        request = calls.run_request(
             exchange.call,
             decode_engine.endpoint,
             exchange.left_ms,
@@ -232,7 +232,7 @@
     async def _prefill(self, exchange, plan):
         prefill_engine = plan.prefill_engine
         prompt_ms = plan.option.prompt_ms
-        request = calls.prefill(
+        request = calls.prefill_request(
             exchange.call,
             prefill_engine.endpoint,
             exchange.left_ms,
@@ -266,7 +266,9 @@
         finally:
             prefill_engine.end_prompt(job, is_prefilled)
         try:
-            prefilled = calls.prefilled(prefill_engine.endpoint, body)
+            prefilled = calls.decode_prefill_answer(
+                prefill_engine.endpoint, body
+            )
         except errors.BadRecord as exc:
             exchange.sends += 1
             raise exchanges.AttemptFailed(
@@ -295,10 +297,10 @@
         return prefilled
 
     async def _free_handle(self, prefill_engine, prefilled):
-        request = calls.free(prefilled.handle)
+        request = calls.free_request(prefilled.handle)
         with anyio.move_on_after(clock.seconds(FREE_TIMEOUT_MS)):
             try:
-                await prefill_engine.pool.ask(
+                await prefill_engine.pool.send_request(
                     request, sending.MAX_ANSWER_BYTES
                 )
             except client.LinkBroken as exc:
--- a/clementinewall/gateway/topic_followers.py
+++ b/clementinewall/gateway/topic_followers.py
@@ -82,7 +82,7 @@
         while True:
             try:
                 await self._step()
-            except store.HistoryGone:
+            except store.HistoryExpired:
                 _log.warning(
                     "topic history was removed, reading the newest records",
                     topic=self._topic,
--- a/clementinewall/http1/client.py
+++ b/clementinewall/http1/client.py
@@ -17,17 +17,17 @@
 from clementinewall.http1 import stream as streams
 from clementinewall import verdicts
 
-HEAD_BYTES = 65_536
+MAX_HEAD_BYTES = 65_536
 # Packets that the peer doesn't confirm for so long end the connection: a
 # peer without power sends no reset, and the default of the operating system
 # is a quarter of an hour.
-UNCONFIRMED_MS = 3_000
+UNACKNOWLEDGED_MS = 3_000
 # The margin by which a kept connection is given up before its peer may
 # close it; covers the way there and a late timer.
 IDLE_MARGIN_MS = 400
 # A peer that names no timeout for kept connections closes them within a
 # second or so.
-UNNAMED_IDLE_MS = 500
+DEFAULT_IDLE_MS = 500
 
 
 class LinkBroken(Exception):
@@ -51,12 +51,12 @@
         """Own ``stream``, opened at ``now``."""
         self._stream = stream
         self._h11 = _new_h11()
-        self._sent = None
-        self._idle_ms = UNNAMED_IDLE_MS
-        self._is_last = False
+        self._sent_request = None
+        self._idle_ms = DEFAULT_IDLE_MS
+        self._closes_after_answer = False
         self.progress = verdicts.Progress.NOTHING_SENT
         self.idle_until = now
-        self.is_fresh = True
+        self.is_new = True
 
     async def send(self, request, limit_ms=None):
         """Write a whole request.
@@ -68,10 +68,10 @@
         if request.body or request.method not in (b"GET", b"DELETE"):
             length = str(len(request.body)).encode()
             headers.append((b"Content-Length", length))
-        self._sent = h11.Request(
+        self._sent_request = h11.Request(
             method=request.method, target=request.target, headers=headers
         )
-        data = self._h11.send(self._sent)
+        data = self._h11.send(self._sent_request)
         if request.body:
             data += self._h11.send(h11.Data(data=request.body))
         data += self._h11.send(h11.EndOfMessage()) or b""
@@ -96,7 +96,7 @@
                     event.reason,
                     tuple(event.headers.raw_items()),
                 )
-                self._note_idle(head)
+                self._apply_keep_alive(head)
                 return head
             if not isinstance(event, h11.InformationalResponse):
                 raise self._broken("closed without an answer")
@@ -114,8 +114,8 @@
             return None
         raise self._broken("closed within the answer")
 
-    async def read_rest(self, limit):
-        """Return the rest of the body, of ``limit`` bytes at most.
+    async def read_rest(self, max_bytes):
+        """Return the rest of the body, of ``max_bytes`` bytes at most.
 
         :raises LinkBroken: it ended early or is too long.
         """
@@ -124,8 +124,8 @@
         part = await self.read_part()
         while part is not None:
             size += len(part)
-            if size > limit:
-                raise self._broken(f"the answer is over {limit} bytes")
+            if size > max_bytes:
+                raise self._broken(f"the answer is over {max_bytes} bytes")
             parts.append(part)
             part = await self.read_part()
         return b"".join(parts)
@@ -140,12 +140,12 @@
         """
         rest, closed = self._h11.trailing_data
         self._h11 = _new_h11()
-        self._h11.send(self._sent)
+        self._h11.send(self._sent_request)
         if rest:
             self._h11.receive_data(bytes(rest))
         if closed:
             self._h11.receive_data(b"")
-        self._is_last = True
+        self._closes_after_answer = True
 
     async def _next_event(self, limit_ms):
         while True:
@@ -161,11 +161,11 @@
                 raise self._broken("reset by the peer") from exc
             self._h11.receive_data(data)
 
-    def _note_idle(self, head):
-        named = head.header(b"keep-alive")
-        if named is None:
+    def _apply_keep_alive(self, head):
+        keep_alive = head.header(b"keep-alive")
+        if keep_alive is None:
             return
-        for part in named.split(b","):
+        for part in keep_alive.split(b","):
             name, _, value = part.partition(b"=")
             if name.strip().lower() == b"timeout":
                 seconds = messages.whole_number(value, 0)
@@ -174,23 +174,23 @@
     def _broken(self, why):
         return LinkBroken(self.progress, why)
 
-    def renew(self, now):
+    def prepare_reuse(self, now):
         """Get ready for another request; return whether that is possible."""
         done = (
             self._h11.our_state is h11.DONE
             and self._h11.their_state is h11.DONE
         )
-        if not done or self._is_last or self._h11.trailing_data[0]:
+        if not done or self._closes_after_answer or self._h11.trailing_data[0]:
             return False
         self._h11.start_next_cycle()
         self.progress = verdicts.Progress.NOTHING_SENT
         self.idle_until = now + self._idle_ms
-        self.is_fresh = False
+        self.is_new = False
         return self._idle_ms > 0
 
-    def is_quiet(self):
+    def is_idle(self):
         """Tell whether nothing has come since the last whole answer."""
-        if not self._stream.is_quiet:
+        if not self._stream.is_idle:
             return False
         # What has arrived but wasn't read by the event loop yet.
         poll = select.poll()
@@ -215,18 +215,18 @@
         self._now = now
         self._connect_ms = connect_ms
         self._idle = []
-        self.open = 0
+        self.open_links = 0
 
-    async def take(self):
+    async def acquire(self):
         """Return a kept link, or a new one.
 
         :raises LinkBroken: no connection could be made.
         """
         while self._idle:
             link = self._idle.pop()
-            if link.idle_until > self._now() and link.is_quiet():
+            if link.idle_until > self._now() and link.is_idle():
                 return link
-            self.drop(link)
+            self.discard(link)
         return await self.connect()
 
     async def connect(self):
@@ -234,70 +234,70 @@
 
         :raises LinkBroken: no connection could be made.
         """
-        self.open += 1
+        self.open_links += 1
         try:
             stream = await streams.connect(self.address, self._connect_ms)
         except (OSError, TimeoutError) as exc:
-            self.open -= 1
+            self.open_links -= 1
             raise LinkBroken(
                 verdicts.Progress.NEVER_CONNECTED,
                 f"no connection: {exc!r}",
                 isinstance(exc, ConnectionRefusedError),
             ) from exc
         except BaseException:
-            self.open -= 1
+            self.open_links -= 1
             raise
         stream.raw_socket.setsockopt(
-            socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNCONFIRMED_MS
+            socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS
         )
         return Link(stream, self._now())
 
-    async def ask(self, request, limit, fresh=False):
+    async def send_request(self, request, max_bytes, fresh=False):
         """Send a request and return head and body of its answer.
 
         ``fresh`` takes a new connection that is closed afterwards.
 
-        :raises LinkBroken: it broke, or the body is over ``limit`` bytes.
+        :raises LinkBroken: it broke, or the body is over ``max_bytes`` bytes.
         """
-        link = await (self.connect() if fresh else self.take())
+        link = await (self.connect() if fresh else self.acquire())
         try:
             await link.send(request)
             head = await link.read_head()
-            body = await link.read_rest(limit)
+            body = await link.read_rest(max_bytes)
         except BaseException:
-            self.drop(link)
+            self.discard(link)
             raise
         if fresh:
-            self.drop(link)
+            self.discard(link)
         else:
-            self.give_back(link)
+            self.release(link)
         return head, body
 
-    def give_back(self, link):
+    def release(self, link):
         """Keep a link whose exchange is over, if it can be used again."""
-        if link.renew(self._now()):
+        if link.prepare_reuse(self._now()):
             self._idle.append(link)
         else:
-            self.drop(link)
+            self.discard(link)
 
-    def drop(self, link):
+    def discard(self, link):
         """Close a link."""
-        self.open -= 1
+        self.open_links -= 1
         link.close()
 
     def close(self):
         """Close all idle links."""
         while self._idle:
-            self.drop(self._idle.pop())
+            self.discard(self._idle.pop())
 
     def prune(self):
         """Close the links whose time to be kept is over."""
         now = self._now()
-        old = [link for link in self._idle if link.idle_until <= now]
+        expired = [link for link in self._idle if link.idle_until <= now]
         self._idle = [link for link in self._idle if link.idle_until > now]
-        for link in old:
-            self.drop(link)
+        for link in expired:
+            self.discard(link)
 
 
 def _new_h11():
-    return h11.Connection(h11.CLIENT, max_incomplete_event_size=HEAD_BYTES)
+    return h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
--- a/clementinewall/http1/server.py
+++ b/clementinewall/http1/server.py
@@ -35,7 +35,7 @@
         self.why = why
 
 
-class CallerGone(Exception):
+class CallerDisconnected(Exception):
     """The caller closed the connection."""
 
 
@@ -48,8 +48,8 @@
         self._limits = limits
         self._h11 = _new_h11(limits)
         self._closing = False
-        self._is_last = False
-        self.answered = False
+        self._closes_after_answer = False
+        self.answer_started = False
 
     @property
     def is_idle(self):
@@ -134,9 +134,9 @@
     async def _receive(self, limit_ms):
         self._h11.receive_data(await self._stream.receive(limit_ms))
 
-    def when_gone(self, callback):
+    def set_close_callback(self, callback):
         """Call back when the caller closes, or no longer with ``None``."""
-        self._stream.when_ended(callback)
+        self._stream.set_close_callback(callback)
 
     async def send_head(self, head, length=None):
         """Send the head of an answer, framed by length or in chunks."""
@@ -146,7 +146,7 @@
         elif head.status >= 200 and head.status not in (204, 304):
             headers.append((b"Transfer-Encoding", b"chunked"))
         self._add_close(headers)
-        self.answered = True
+        self.answer_started = True
         await self._send(
             h11.Response(
                 status_code=head.status,
@@ -168,7 +168,7 @@
         headers = list(head.headers)
         headers.append((b"Content-Length", str(len(body)).encode()))
         self._add_close(headers)
-        self.answered = True
+        self.answer_started = True
         parts = [
             self._h11.send(
                 h11.Response(
@@ -189,11 +189,13 @@
         After it, nothing tells the caller whether a request that it sent
         ahead of this answer has run.
         """
-        self._is_last = self._closing and not self._has_more()
-        if self._is_last:
+        self._closes_after_answer = (
+            self._closing and not self._has_next_request_bytes()
+        )
+        if self._closes_after_answer:
             headers.append((b"Connection", b"close"))
 
-    def _has_more(self):
+    def _has_next_request_bytes(self):
         """Tell whether bytes came after a whole request."""
         if self._h11.their_state is not h11.DONE:
             return False
@@ -208,16 +210,16 @@
         try:
             await self._stream.send(data)
         except anyio.BrokenResourceError as exc:
-            raise CallerGone from exc
+            raise CallerDisconnected from exc
 
     def next_request(self):
         """Get ready for the next request; return whether there may be one."""
-        if self._h11.our_state is not h11.DONE or self._is_last:
+        if self._h11.our_state is not h11.DONE or self._closes_after_answer:
             return False
         if self._h11.their_state is not h11.DONE:
             return False
         self._h11.start_next_cycle()
-        self.answered = False
+        self.answer_started = False
         return True
 
 
--- a/clementinewall/http1/stream.py
+++ b/clementinewall/http1/stream.py
@@ -17,8 +17,8 @@
 
 # Reading stops while so much is waiting to be taken: what a peer sends ahead
 # counts as this process's memory.
-READ_AHEAD_BYTES = 65_536
-BACKLOG = 1_024
+MAX_READ_AHEAD_BYTES = 65_536
+MAX_PENDING_CONNECTIONS = 1_024
 
 
 class Stream(asyncio.Protocol):
@@ -27,18 +27,18 @@
     def __init__(self, on_open=None):
         """Call ``on_open(stream)`` when it is connected."""
         self._on_open = on_open
-        self._on_end = None
+        self._close_callback = None
         self._transport = None
         self._chunks = collections.deque()
-        self._ahead = 0
-        self._is_paused = False
+        self._buffered_bytes = 0
+        self._is_read_paused = False
         self._at_end = False
-        self._is_lost = False
+        self._is_disconnected = False
         self._error = None
-        self._reader = None
-        self._writer = None
-        self._is_full = False
-        self._waits = True
+        self._read_waiter = None
+        self._write_waiter = None
+        self._is_write_blocked = False
+        self._may_wait = True
 
     # What asyncio calls.
 
@@ -54,43 +54,46 @@
     def data_received(self, data):
         """Keep bytes until they are asked for."""
         self._chunks.append(data)
-        self._ahead += len(data)
-        if self._ahead >= READ_AHEAD_BYTES and not self._is_paused:
-            self._is_paused = True
+        self._buffered_bytes += len(data)
+        if (
+            self._buffered_bytes >= MAX_READ_AHEAD_BYTES
+            and not self._is_read_paused
+        ):
+            self._is_read_paused = True
             self._transport.pause_reading()
-        _wake(self._reader)
+        _wake(self._read_waiter)
 
     def eof_received(self):
         """Note that the peer will send no more; answers may still go out."""
-        self._end()
+        self._handle_end()
         return True
 
     def connection_lost(self, exc):
         """Note that the connection is gone."""
-        self._is_lost = True
+        self._is_disconnected = True
         self._error = exc
-        _wake(self._writer)
-        self._end()
+        _wake(self._write_waiter)
+        self._handle_end()
 
     def pause_writing(self):
         """Note that the system takes no more bytes for now."""
-        self._is_full = True
+        self._is_write_blocked = True
 
     def resume_writing(self):
         """Note that all bytes were taken."""
-        self._is_full = False
-        _wake(self._writer)
+        self._is_write_blocked = False
+        _wake(self._write_waiter)
 
-    def _end(self):
+    def _handle_end(self):
         self._at_end = True
-        _wake(self._reader)
-        if self._on_end is not None:
-            self._on_end()
+        _wake(self._read_waiter)
+        if self._close_callback is not None:
+            self._close_callback()
 
     # What the gateway calls.
 
     @property
-    def is_quiet(self):
+    def is_idle(self):
         """Tell whether the peer has sent nothing that wasn't taken."""
         return not self._chunks and not self._at_end
 
@@ -104,17 +107,17 @@
         """Return the socket, for its options and to poll it."""
         return self._transport.get_extra_info("socket")
 
-    def when_ended(self, callback):
+    def set_close_callback(self, callback):
         """Call back when the peer closes, at once if it has; or ``None``."""
-        self._on_end = callback
+        self._close_callback = callback
         if callback is not None and self._at_end:
             callback()
 
     def stop_waiting(self):
         """Let :meth:`receive` time out from now on instead of waiting."""
-        self._waits = False
-        if self._reader is not None:
-            _time_out(self._reader)
+        self._may_wait = False
+        if self._read_waiter is not None:
+            _time_out(self._read_waiter)
 
     async def receive(self, limit_ms=None):
         """Return what came, or ``b""`` at the peer's end.
@@ -123,10 +126,10 @@
         :raises anyio.BrokenResourceError: the connection was reset.
         """
         if not self._chunks and not self._at_end:
-            if not self._waits:
+            if not self._may_wait:
                 raise TimeoutError
-            self._reader = asyncio.get_running_loop().create_future()
-            await _wait(self._reader, limit_ms)
+            self._read_waiter = asyncio.get_running_loop().create_future()
+            await _wait(self._read_waiter, limit_ms)
         if self._chunks:
             return self._take()
         if self._error is not None:
@@ -136,9 +139,9 @@
     def _take(self):
         data = b"".join(self._chunks)
         self._chunks.clear()
-        self._ahead = 0
-        if self._is_paused and not self._is_lost:
-            self._is_paused = False
+        self._buffered_bytes = 0
+        if self._is_read_paused and not self._is_disconnected:
+            self._is_read_paused = False
             self._transport.resume_reading()
         return data
 
@@ -148,13 +151,13 @@
         :raises TimeoutError: it took longer than ``limit_ms``.
         :raises anyio.BrokenResourceError: the connection is gone.
         """
-        if self._is_lost or self._transport.is_closing():
+        if self._is_disconnected or self._transport.is_closing():
             raise anyio.BrokenResourceError from self._error
         self._transport.write(data)
-        if self._is_full:
-            self._writer = asyncio.get_running_loop().create_future()
-            await _wait(self._writer, limit_ms)
-        if self._is_lost:
+        if self._is_write_blocked:
+            self._write_waiter = asyncio.get_running_loop().create_future()
+            await _wait(self._write_waiter, limit_ms)
+        if self._is_disconnected:
             raise anyio.BrokenResourceError from self._error
 
     def close(self):
@@ -220,7 +223,7 @@
             functools.partial(Stream, on_open),
             host,
             int(port),
-            backlog=BACKLOG,
+            backlog=MAX_PENDING_CONNECTIONS,
         )
     except OSError as exc:
         raise errors.SettingsError(f"cannot listen on {address}: {exc}")
--- a/clementinewall/platform/addresses.py
+++ b/clementinewall/platform/addresses.py
@@ -6,18 +6,18 @@
 PATH = b"/resolve"
 READY_PATH = b"/ready"
 # Callers use no more addresses of one answer.
-MOST = 64
+MAX_ADDRESSES = 64
 
 
-def asked_data_centre(target):
+def requested_data_centre(target):
     """Return the caller's data centre, or ``None``."""
     _, _, query = target.decode("latin-1").partition("?")
     values = urllib.parse.parse_qs(query).get("zone")
     return values[0] if values else None
 
 
-def answer(addresses, ttl_ms):
+def encode_answer(addresses, ttl_ms):
     """Return the body of the answer."""
     return json.dumps(
-        {"addresses": list(addresses[:MOST]), "ttl_s": ttl_ms / 1_000}
+        {"addresses": list(addresses[:MAX_ADDRESSES]), "ttl_s": ttl_ms / 1_000}
     ).encode()
--- a/clementinewall/platform/calls.py
+++ b/clementinewall/platform/calls.py
@@ -7,16 +7,16 @@
 from clementinewall import errors
 from clementinewall.http1 import messages
 
-ATTEMPT = b"attempt-id"
-_DEADLINE = b"deadline-ms"
-_RESUME = b"last-event-id"
-_STAMP = b"server-stamp"
-_NOT_RUN = b"not-executed"
-_LOAD = b"server-load"
-_ENCODED = b"content-encoding"
-_MISDIRECTED = 421
+ATTEMPT_HEADER = b"attempt-id"
+_DEADLINE_HEADER = b"deadline-ms"
+_RESUME_HEADER = b"last-event-id"
+_SERVER_STAMP_HEADER = b"server-stamp"
+_NOT_RUN_HEADER = b"not-executed"
+_LOAD_HEADER = b"server-load"
+_ENCODING_HEADER = b"content-encoding"
+_MISDIRECTED_STATUS = 421
 # What decoding a malformed body raises; its numbers may be infinite.
-_MALFORMED = (
+_DECODE_ERRORS = (
     AttributeError,
     IndexError,
     KeyError,
@@ -29,7 +29,7 @@
 # These are the system's to set.  A caller that sends them would choose its
 # engine, jump queues or continue from the memory of somebody else's prompt,
 # so whatever it sent is dropped.
-_OWN = frozenset(
+_RESERVED_HEADERS = frozenset(
     (
         b"deadline-ms",
         b"expect-instance",
@@ -51,7 +51,7 @@
 
     :raises BadRequest: it has no usable id or host.
     """
-    attempt = request.header(ATTEMPT)
+    attempt = request.header(ATTEMPT_HEADER)
     host = request.header(b"host")
     if not attempt:
         raise errors.BadRequest("the request has no Attempt-Id")
@@ -61,7 +61,7 @@
     headers = tuple(
         (key, value)
         for key, value in messages.end_to_end(request.headers)
-        if key.lower() not in _OWN
+        if key.lower() not in _RESERVED_HEADERS
     )
     return domain.Call(
         attempt=attempt.decode("latin-1"),
@@ -71,9 +71,9 @@
         path=path.decode("latin-1"),
         headers=headers,
         body=request.body,
-        wait_ms=messages.whole_number(request.header(_DEADLINE)),
-        resume_after=messages.whole_number(request.header(_RESUME)),
-        prompt=_prompt(request),
+        wait_ms=messages.whole_number(request.header(_DEADLINE_HEADER)),
+        resume_after=messages.whole_number(request.header(_RESUME_HEADER)),
+        prompt=_decode_prompt(request),
     )
 
 
@@ -84,7 +84,7 @@
     return name if colon and port.isdigit() else text
 
 
-def _prompt(request):
+def _decode_prompt(request):
     usage = request.header(b"token-usage")
     if usage is None:
         return None
@@ -94,11 +94,11 @@
         model=model.decode("latin-1"),
         tokens_in=messages.whole_number(tokens_in, 0),
         tokens_out=messages.whole_number(tokens_out, 0),
-        parts=_parts(request.header(b"prompt-prefix")),
+        parts=_decode_prompt_parts(request.header(b"prompt-prefix")),
     )
 
 
-def _parts(value):
+def _decode_prompt_parts(value):
     if value is None:
         return ()
     parts = []
@@ -109,10 +109,10 @@
     return tuple(parts)
 
 
-def run(
+def run_request(
     call,
     endpoint,
-    left_ms,
+    remaining_ms,
     after=None,
     prefilled=None,
     urgency=None,
@@ -125,44 +125,48 @@
     engine's waiting requests, 0 first; ``source`` is an endpoint from whose
     cache it fetches what it lacks of the prompt's beginning.
     """
-    extra = _fetched(source)
+    extra_headers = _fetch_headers(source)
     if prefilled is not None:
-        extra.append((b"Kv-Source", prefilled.source.encode()))
+        extra_headers.append((b"Kv-Source", prefilled.source.encode()))
     if urgency is not None:
-        extra.append((b"Request-Priority", str(urgency).encode()))
+        extra_headers.append((b"Request-Priority", str(urgency).encode()))
     headers = call.headers
     if after is not None:
-        headers = tuple(row for row in headers if row[0].lower() != _RESUME)
-        extra.append((b"Last-Event-Id", str(after).encode()))
-    return _request(call, headers, endpoint, left_ms, extra)
+        headers = tuple(
+            row for row in headers if row[0].lower() != _RESUME_HEADER
+        )
+        extra_headers.append((b"Last-Event-Id", str(after).encode()))
+    return _request(call, headers, endpoint, remaining_ms, extra_headers)
 
 
-def prefill(call, endpoint, left_ms, urgency=None, source=None):
+def prefill_request(call, endpoint, remaining_ms, urgency=None, source=None):
     """Return the request that has an engine only read the prompt."""
-    extra = [(b"Stage", b"prefill"), *_fetched(source)]
+    extra_headers = [(b"Stage", b"prefill"), *_fetch_headers(source)]
     if urgency is not None:
-        extra.append((b"Request-Priority", str(urgency).encode()))
-    return _request(call, call.headers, endpoint, left_ms, extra)
+        extra_headers.append((b"Request-Priority", str(urgency).encode()))
+    return _request(call, call.headers, endpoint, remaining_ms, extra_headers)
 
 
-def _fetched(source):
+def _fetch_headers(source):
     if source is None:
         return []
     return [(b"Kv-Fetch", source.address.encode())]
 
 
-def _request(call, headers, endpoint, left_ms, extra):
+def _request(call, headers, endpoint, remaining_ms, extra_headers):
     # Without the id another process that got the address of an endpoint
     # that has left would run the request.
-    own = (
-        (b"Deadline-Ms", str(max(1, left_ms)).encode()),
+    own_headers = (
+        (b"Deadline-Ms", str(max(1, remaining_ms)).encode()),
         (b"Expect-Instance", endpoint.id.encode()),
-        *extra,
+        *extra_headers,
+    )
+    return messages.Request(
+        call.method, call.target, headers + own_headers, call.body
     )
-    return messages.Request(call.method, call.target, headers + own, call.body)
 
 
-def free(handle):
+def free_request(handle):
     """Return the request that frees the memory of a prefilled prompt."""
     target = f"/kv-handle/{urllib.parse.quote(handle)}"
     return messages.Request(
@@ -170,25 +174,25 @@
     )
 
 
-def report():
+def report_request():
     """Return the request for an engine's report on itself."""
     return messages.Request(b"GET", b"/report", ((b"Host", b"engine"),))
 
 
-def kept_parts():
+def cached_parts_request():
     """Return the request for the parts of prompts that an engine keeps."""
     return messages.Request(b"GET", b"/kv-list", ((b"Host", b"engine"),))
 
 
-def decode_kept_parts(body):
+def decode_cached_parts(body):
     """Return the parts that an engine keeps as :class:`domain.CacheChange`.
 
     :raises BadRecord: it is no list of parts.
     """
-    return _cache_change(body, "held", 1)
+    return _decode_cache_change(body, "held", 1)
 
 
-def cache_changes(since, wait_ms):
+def cache_changes_request(since, wait_ms):
     """Return the request for the changes of an engine's cache.
 
     The engine answers as soon as there are some, or after ``wait_ms``.
@@ -203,10 +207,10 @@
 
     :raises BadRecord: they are none.
     """
-    return _cache_change(body, "events", 3)
+    return _decode_cache_change(body, "events", 3)
 
 
-def _cache_change(body, name, first):
+def _decode_cache_change(body, name, id_index):
     """Decode rows of parts, in which ``first`` is the place of the id."""
     try:
         data = json.loads(body)
@@ -214,16 +218,18 @@
             str(data["epoch"]),
             int(data["next"]),
             tuple(
-                domain.PromptPart(str(row[first]), max(0, int(row[first + 1])))
+                domain.PromptPart(
+                    str(row[id_index]), max(0, int(row[id_index + 1]))
+                )
                 for row in data[name]
             ),
             bool(data.get("lost", False)),
         )
-    except _MALFORMED as exc:
+    except _DECODE_ERRORS as exc:
         raise errors.BadRecord(f"no {name} of a cache: {exc!r}") from exc
 
 
-def engine_report(body):
+def decode_engine_report(body):
     """Decode an engine's report on itself.
 
     :raises BadRecord: it is no report.
@@ -233,7 +239,7 @@
         return domain.EngineReport(
             int(data["sequence"]), data.get("busy") is True
         )
-    except _MALFORMED as exc:
+    except _DECODE_ERRORS as exc:
         raise errors.BadRecord(f"no report: {exc!r}") from exc
 
 
@@ -260,7 +266,7 @@
     return messages.Request(b"POST", b"/order", headers, body)
 
 
-def prefilled(endpoint, body):
+def decode_prefill_answer(endpoint, body):
     """Decode the answer to a prefill.
 
     :raises BadRecord: it is not such an answer.
@@ -279,35 +285,38 @@
 
     A failure may come without the id; a success never does.
     """
-    echoed = head.header(ATTEMPT)
+    echoed = head.header(ATTEMPT_HEADER)
     if echoed is None:
         return head.status >= 400
     return echoed.decode("latin-1") == call.attempt
 
 
-def says_not_run(head):
+def reports_not_run(head):
     """Tell whether the endpoint says that it has not run the request."""
-    return is_misdirected(head) or head.header(_NOT_RUN) is not None
+    return is_misdirected(head) or head.header(_NOT_RUN_HEADER) is not None
 
 
 def is_misdirected(head):
     """Tell whether another endpoint, or one of another stage, answered."""
-    return head.status == _MISDIRECTED
+    return head.status == _MISDIRECTED_STATUS
 
 
-def is_whole_success(head):
+def is_complete_success(head):
     """Tell whether a success can be handed on as the endpoint's own."""
-    return head.header(_STAMP) is not None and head.header(_ENCODED) is None
+    return (
+        head.header(_SERVER_STAMP_HEADER) is not None
+        and head.header(_ENCODING_HEADER) is None
+    )
 
 
-def forwarded(head):
+def forwarded_head(head):
     """Return the head of an answer as the caller gets it."""
     return head._replace(headers=messages.end_to_end(head.headers))
 
 
-def load(head):
+def decode_load(head):
     """Return the load that an answer tells, or ``None``."""
-    value = head.header(_LOAD)
+    value = head.header(_LOAD_HEADER)
     if value is None:
         return None
     numbers = [messages.whole_number(part) for part in value.split(b",")]
--- a/clementinewall/platform/records.py
+++ b/clementinewall/platform/records.py
@@ -14,7 +14,7 @@
 # key for good.
 GATEWAYS_TOPIC = "keyed.gateways"
 LEASES_TOPIC = "keyed.leases"
-_STATES = ("ready", "draining")
+_KNOWN_STATES = ("ready", "draining")
 
 
 def configuration(raw):
@@ -22,13 +22,13 @@
 
     :raises BadRecord: it cannot be read.
     """
-    data = _object(raw)
+    data = _decode_object(raw)
     try:
         routes = [_route(row) for row in data["routes"]]
         services = [_service(row) for row in data["services"]]
         return domain.Configuration(
-            version=_whole(data["version"]),
-            routes_by_host=_by_host(routes),
+            version=_integer(data["version"]),
+            routes_by_host=_routes_by_host(routes),
             service_by_name={service.name: service for service in services},
             limits=_limits(data.get("limits", {})),
         )
@@ -41,26 +41,26 @@
 
     :raises BadRecord: it is not from an endpoint or can't be read.
     """
-    data = _object(raw)
+    data = _decode_object(raw)
     try:
         state = data["state"]
-        if state not in _STATES:
+        if state not in _KNOWN_STATES:
             raise ValueError(f"state {state!r}")
         return domain.Endpoint(
             id=endpoint_id,
             service=_text(data["service"]),
             address=_address(data["address"]),
             data_centre=_text(data["zone"]),
-            slots=_whole(data.get("slot_count", 1)),
+            slots=_integer(data.get("slot_count", 1)),
             draining=state == "draining",
             stage=data.get("stage"),
-            incarnation=_whole(data.get("born", 0)),
+            incarnation=_integer(data.get("born", 0)),
         )
     except (KeyError, TypeError, ValueError, AttributeError) as exc:
         raise errors.BadRecord(f"{endpoint_id}: {exc!r}") from exc
 
 
-def _object(raw):
+def _decode_object(raw):
     try:
         data = json.loads(raw)
     except (ValueError, RecursionError) as exc:
@@ -76,7 +76,7 @@
     return value
 
 
-def _whole(value):
+def _integer(value):
     if isinstance(value, bool) or not isinstance(value, int):
         raise ValueError(f"{value!r} is no whole number")
     return value
@@ -109,8 +109,8 @@
         timeout_ms=None if not timeout_ms else int(_number(timeout_ms)),
         goal_ms=goal_ms,
         gap_goal_ms=int(_number(row.get("gap_goal_ms") or goal_ms)),
-        priority=_whole(row.get("priority") or 0),
-        max_attempts=max(1, _whole(row.get("max_attempts") or 1)),
+        priority=_integer(row.get("priority") or 0),
+        max_attempts=max(1, _integer(row.get("max_attempts") or 1)),
         resumable=row.get("resumable") is True,
     )
 
@@ -136,9 +136,9 @@
 
 def _engine(row):
     return domain.EngineLimits(
-        slots=_whole(row["slot_count"]),
-        kv_tokens=_whole(row["kv_capacity"]),
-        kv_token_bytes=_whole(row.get("kv_token_bytes") or 0),
+        slots=_integer(row["slot_count"]),
+        kv_tokens=_integer(row["kv_capacity"]),
+        kv_token_bytes=_integer(row.get("kv_token_bytes") or 0),
         link_mbps=_number(row.get("link_mbps") or 0),
         switch_ms=int(_number(row.get("switch_s") or 0) * 1_000),
     )
@@ -147,10 +147,10 @@
 def _limits(row):
     fallback = server.Limits()
     return server.Limits(
-        header_bytes=_whole(row.get("max_header_bytes"))
+        header_bytes=_integer(row.get("max_header_bytes"))
         if row.get("max_header_bytes")
         else fallback.header_bytes,
-        body_bytes=_whole(row.get("max_body_bytes"))
+        body_bytes=_integer(row.get("max_body_bytes"))
         if row.get("max_body_bytes")
         else fallback.body_bytes,
         header_timeout_ms=int(
@@ -162,12 +162,12 @@
     )
 
 
-def _by_host(routes):
+def _routes_by_host(routes):
     """Group by host, longest prefix first, as routes are looked up."""
-    grouped = {}
+    routes_by_host = {}
     for route in routes:
-        grouped.setdefault(route.host, []).append(route)
+        routes_by_host.setdefault(route.host, []).append(route)
     return {
         host: tuple(sorted(rows, key=lambda r: -len(r.prefix)))
-        for host, rows in grouped.items()
+        for host, rows in routes_by_host.items()
     }
--- a/clementinewall/platform/settings.py
+++ b/clementinewall/platform/settings.py
@@ -13,7 +13,7 @@
 from clementinewall import settings as project_settings
 
 PATH_VARIABLE = "CLEMENTINEWALL_SETTINGS"
-HIGHEST_PORT = 65_535
+MAX_PORT = 65_535
 
 _Amount = typing.Annotated[float, _schema.Range(0, 1_000_000_000)]
 
@@ -63,7 +63,7 @@
     if not path:
         raise errors.SettingsError(f"{PATH_VARIABLE} is not set")
     data = project_settings.read_toml(path)
-    known, mistakes = _schema.build(_File, _only_known(_File, data))
+    known, mistakes = _schema.build(_File, _drop_unknown_keys(_File, data))
     if known is not None:
         mistakes += tuple(_check_addresses(known))
     project_settings.refuse(path, mistakes)
@@ -73,9 +73,9 @@
 def _check_addresses(known):
     if not known.port_range:
         yield _schema.Mistake("port_range", "[]", "one port or more")
-    elif not 0 < known.port_range[0] <= HIGHEST_PORT:
+    elif not 0 < known.port_range[0] <= MAX_PORT:
         found = str(known.port_range[0])
-        yield _schema.Mistake("port_range[0]", found, f"1 to {HIGHEST_PORT}")
+        yield _schema.Mistake("port_range[0]", found, f"1 to {MAX_PORT}")
     listen = known.listen
     for key, address in (
         ("listen.front", listen.front),
@@ -89,10 +89,10 @@
 
 
 def _is_port(text):
-    return text.isdecimal() and len(text) <= 5 and int(text) <= HIGHEST_PORT
+    return text.isdecimal() and len(text) <= 5 and int(text) <= MAX_PORT
 
 
-def _only_known(shape, data):
+def _drop_unknown_keys(shape, data):
     """Drop the keys that this version doesn't know, at every level."""
     if not isinstance(data, dict):
         return data
@@ -101,7 +101,7 @@
         if name in data:
             value = data[name]
             if hasattr(hint, "_fields"):
-                value = _only_known(hint, value)
+                value = _drop_unknown_keys(hint, value)
             kept[name] = value
     return kept
 
--- a/clementinewall/platform/store.py
+++ b/clementinewall/platform/store.py
@@ -23,9 +23,9 @@
 # must not be waited for much longer.
 CALL_TIMEOUT_MS = 700
 CONNECT_TIMEOUT_MS = 500
-ANSWER_LIMIT = 8_000_000
-_LENGTH = struct.Struct(">I")
-_OFFSETS = struct.Struct(">QQ")
+MAX_ANSWER_BYTES = 8_000_000
+_LENGTH_FORMAT = struct.Struct(">I")
+_OFFSETS_FORMAT = struct.Struct(">QQ")
 
 
 class Record(typing.NamedTuple):
@@ -43,7 +43,7 @@
     end: int
 
 
-class HistoryGone(Exception):
+class HistoryExpired(Exception):
     """The records asked for have expired; read the newest of each key."""
 
 
@@ -70,9 +70,9 @@
             query = {"topic": topic, "part": 0}
             if after is not None:
                 query["after"] = after
-            data = _json(await self._get("/log-newest", query))
+            data = _decode_object(await self._get("/log-newest", query))
             try:
-                rows = [_item(row) for row in data["items"]]
+                rows = [_decode_item(row) for row in data["items"]]
                 end = int(data["end_offset"])
             except (KeyError, TypeError, ValueError) as exc:
                 raise errors.LogUnavailable(f"bad page: {exc!r}") from exc
@@ -85,14 +85,14 @@
     async def read(self, topic, start, wait_ms=0):
         """Return the records from ``start`` on, waiting if there are none.
 
-        :raises HistoryGone: they have expired.
+        :raises HistoryExpired: they have expired.
         :raises LogUnavailable: the store doesn't answer.
         """
         query = {"topic": topic, "part": 0, "from": start}
         if wait_ms:
             query["wait_ms"] = wait_ms
         raw = await self._get("/log-read", query, wait_ms)
-        return _batch(raw, start)
+        return _decode_batch(raw, start)
 
     async def append(self, topic, key, value, at=None):
         """Write the newest value of a key; return the record's offset.
@@ -104,7 +104,7 @@
         """
         name = key.encode()
         content = bytes([len(name)]) + name + (value or b"")
-        body = _LENGTH.pack(len(content)) + content
+        body = _LENGTH_FORMAT.pack(len(content)) + content
         query = {"topic": topic, "part": 0}
         if at is not None:
             query["at"] = at
@@ -113,7 +113,7 @@
         if status == 412:
             return None
         try:
-            return int(_json(raw)["offset"])
+            return int(_decode_object(raw)["offset"])
         except (KeyError, TypeError, ValueError) as exc:
             raise errors.LogUnavailable(f"bad answer: {exc!r}") from exc
 
@@ -126,16 +126,18 @@
         request = messages.Request(
             method, target.encode(), ((b"Host", self._host),), body
         )
-        limit = clock.seconds(CALL_TIMEOUT_MS + wait_ms)
+        timeout_s = clock.seconds(CALL_TIMEOUT_MS + wait_ms)
         try:
-            with anyio.fail_after(limit):
-                head, answer = await self._pool.ask(request, ANSWER_LIMIT)
+            with anyio.fail_after(timeout_s):
+                head, answer = await self._pool.send_request(
+                    request, MAX_ANSWER_BYTES
+                )
         except TimeoutError as exc:
             raise errors.LogUnavailable(f"{target}: no answer") from exc
         except client.LinkBroken as exc:
             raise errors.LogUnavailable(f"{target}: {exc.why}") from exc
         if head.status == 410:
-            raise HistoryGone(target)
+            raise HistoryExpired(target)
         if head.status not in expected:
             raise errors.LogUnavailable(f"{target}: status {head.status}")
         return head.status, answer
@@ -145,7 +147,7 @@
         self._pool.close()
 
 
-def _json(raw):
+def _decode_object(raw):
     try:
         data = json.loads(raw)
     except ValueError as exc:
@@ -155,33 +157,33 @@
     return data
 
 
-def _item(row):
+def _decode_item(row):
     value = base64.b64decode(row["value"] or "")
     return Record(row["key"], value or None, int(row["offset"]))
 
 
-def _batch(raw, start):
-    if len(raw) < _OFFSETS.size:
+def _decode_batch(raw, start):
+    if len(raw) < _OFFSETS_FORMAT.size:
         raise errors.LogUnavailable("a short answer")
-    end, first = _OFFSETS.unpack_from(raw)
+    end, first = _OFFSETS_FORMAT.unpack_from(raw)
     if first > start:
-        raise HistoryGone(f"first is {first}")
+        raise HistoryExpired(f"first is {first}")
     records = []
-    position = _OFFSETS.size
+    position = _OFFSETS_FORMAT.size
     offset = start
-    while position + _LENGTH.size <= len(raw):
-        (length,) = _LENGTH.unpack_from(raw, position)
-        position += _LENGTH.size
+    while position + _LENGTH_FORMAT.size <= len(raw):
+        (length,) = _LENGTH_FORMAT.unpack_from(raw, position)
+        position += _LENGTH_FORMAT.size
         content = raw[position : position + length]
         if len(content) < length:
             break
         position += length
-        records.append(_record(content, offset))
+        records.append(_decode_record(content, offset))
         offset += 1
     return Batch(tuple(records), max(offset, min(end, offset)))
 
 
-def _record(content, offset):
+def _decode_record(content, offset):
     size = content[0] if content else 0
     key = content[1 : 1 + size].decode("utf-8", "replace")
     return Record(key, content[1 + size :] or None, offset)
--- a/tests/http1/test_stream.py
+++ b/tests/http1/test_stream.py
@@ -58,7 +58,7 @@
             async with connected() as (stream, _peer):
                 with self.assertRaises(TimeoutError):
                     await stream.receive(30)
-                self.assertTrue(stream.is_quiet)
+                self.assertTrue(stream.is_idle)
 
         anyio.run(run)
 
@@ -144,13 +144,13 @@
         async def run():
             async with connected() as (stream, peer):
                 told = anyio.Event()
-                stream.when_ended(told.set)
+                stream.set_close_callback(told.set)
                 peer.sendall(b"the next request")
                 peer.close()
                 with anyio.fail_after(1):
                     await told.wait()
                 late = []
-                stream.when_ended(lambda: late.append(True))
+                stream.set_close_callback(lambda: late.append(True))
                 self.assertEqual(late, [True])
 
         anyio.run(run)
--- a/tests/platform/test_calls.py
+++ b/tests/platform/test_calls.py
@@ -73,14 +73,14 @@
 
     def test_nothing_that_is_the_systems_comes_from_a_caller(self):
         call = decode(*FORGED)
-        sent = calls.run(call, engine("e1"), 4_000)
+        sent = calls.run_request(call, engine("e1"), 4_000)
         for name, value in FORGED:
             self.assertNotIn(value, values(sent, name.lower()))
         self.assertEqual(values(sent, b"expect-instance"), [b"e1"])
         self.assertEqual(values(sent, b"deadline-ms"), [b"4000"])
 
     def test_the_prompt_is_the_callers(self):
-        sent = calls.run(decode(), engine("e1"), 4_000)
+        sent = calls.run_request(decode(), engine("e1"), 4_000)
         for name in (b"model", b"token-usage", b"prompt-prefix"):
             self.assertEqual(values(sent, name), [dict(_lower(HEADERS))[name]])
         self.assertEqual((sent.target, sent.body), (b"/chat/x?y=1", b"body"))
@@ -89,15 +89,15 @@
         call = decode()
         keeper = engine("keeper")
         for sent in (
-            calls.prefill(call, engine("e1"), 4_000, 2, keeper),
-            calls.run(call, engine("e1"), 4_000, source=keeper),
+            calls.prefill_request(call, engine("e1"), 4_000, 2, keeper),
+            calls.run_request(call, engine("e1"), 4_000, source=keeper),
         ):
             self.assertEqual(values(sent, b"kv-fetch"), [b"keeper:1"])
-        plain = calls.prefill(call, engine("e1"), 4_000, 2)
+        plain = calls.prefill_request(call, engine("e1"), 4_000, 2)
         self.assertEqual(values(plain, b"kv-fetch"), [])
 
     def test_time_that_is_over_is_still_a_positive_number(self):
-        sent = calls.run(decode(), engine("e1"), -3)
+        sent = calls.run_request(decode(), engine("e1"), -3)
         self.assertEqual(values(sent, b"deadline-ms"), [b"1"])
 
 
@@ -110,7 +110,7 @@
 
     def test_whole_list(self):
         body = b'{"epoch":"x","next":7,"held":[["","5c1e",800,"m"]]}'
-        found = calls.decode_kept_parts(body)
+        found = calls.decode_cached_parts(body)
         part = domain.PromptPart("5c1e", 800)
         self.assertEqual(found, domain.CacheChange("x", 7, (part,)))
 
@@ -135,6 +135,6 @@
         for body in bodies:
             with self.subTest(body=body):
                 with self.assertRaises(errors.BadRecord):
-                    calls.decode_kept_parts(body)
+                    calls.decode_cached_parts(body)
                 with self.assertRaises(errors.BadRecord):
                     calls.decode_cache_changes(body)
