--- a/tests/integration/callers.py
+++ b/tests/integration/callers.py
@@ -1,4 +1,4 @@
-"""A caller for the tests: reads streams by position, resends bookings."""
+"""Helpers that send streaming requests and bookings as a caller does."""
 
 import json
 
@@ -17,7 +17,7 @@
 
 
 def iterate(url, prompt, tokens=8, headers=None, timeout=30.0):
-    """Yield the events of a streamed answer as they come."""
+    """Yield the events of a streamed answer as they arrive."""
     body = {
         "model": bringup.MODEL,
         "prompt": prompt,
@@ -40,7 +40,7 @@
 
 
 def expected(prompt, tokens, after=0):
-    """Return the events that a whole answer must have."""
+    """Return the events of a complete answer after position ``after``."""
     rows = []
     for position in range(after + 1, tokens + 1):
         rows.append((position, engine.token_at(prompt, position)))
--- a/tests/integration/gateway_base.py
+++ b/tests/integration/gateway_base.py
@@ -1,4 +1,4 @@
-"""What the tests with a gateway process share."""
+"""Base class and constants of the tests with gateway processes."""
 
 import json
 import signal
@@ -46,7 +46,7 @@
 
 
 class GatewayCase(unittest.TestCase):
-    """Runs the store's stand-in and gateways beside scripted endpoints."""
+    """Runs a stand-in of the store, gateways and scripted endpoints."""
 
     def setUp(self):
         """Start the store."""
@@ -55,11 +55,13 @@
         self.http = httpx.Client(timeout=10, trust_env=False)
         self.addCleanup(self.http.close)
         self.store = self.dep.standin("store", "store")
-        bringup.wait_until(lambda: self._listens(self.store), what="the store")
+        bringup.wait_until(
+            lambda: self._accepts_connections(self.store), what="the store"
+        )
         self.version = 0
         self.listen_by_name = {}
 
-    def _listens(self, address):
+    def _accepts_connections(self, address):
         host, _, port = address.rpartition(":")
         with socket.socket() as probe:
             probe.settimeout(1)
@@ -75,7 +77,7 @@
         ).raise_for_status()
 
     def set_store_mode(self, mode):
-        """Set what goes wrong at the store."""
+        """Set the failure mode of the store."""
         self.http.post(
             f"http://{self.store}/standin/mode", json={"mode": mode}
         ).raise_for_status()
@@ -135,7 +137,7 @@
     def start_without_waiting(
         self, name="gateway-1", ip="127.0.0.1", **bounds
     ):
-        """Start a gateway and return where it takes callers."""
+        """Start a gateway and return its address for callers."""
         listen = {
             "front": f"{ip}:{bringup.free_port()}",
             "ready_addr": f"{ip}:{bringup.free_port()}",
@@ -169,7 +171,7 @@
         return self._port
 
     def is_ready(self, name):
-        """Tell whether a gateway says that it serves."""
+        """Return whether a gateway reports that it is ready."""
         where = self.listen_by_name[name]["ready_addr"]
         try:
             return self.http.get(f"http://{where}/ready").status_code == 200
@@ -177,7 +179,7 @@
             return False
 
     def addresses(self, name="gateway-1"):
-        """Return what a gateway tells a caller who asks where to connect."""
+        """Return the addresses that a gateway's directory lists."""
         where = self.listen_by_name[name]["directory"]
         answer = self.http.get(
             f"http://{where}/resolve",
--- a/tests/integration/test_gateway_lifecycle.py
+++ b/tests/integration/test_gateway_lifecycle.py
@@ -1,4 +1,4 @@
-"""Starts, stops and outages of gateways under requests."""
+"""Starts and stops of gateways, and outages of the store, under load."""
 
 import socket
 import time
@@ -17,7 +17,7 @@
 
 
 def long_answer(events, gap):
-    """Return a script that streams so many events, ``gap`` seconds apart."""
+    """Return a script that streams ``events``, ``gap`` seconds apart."""
 
     def script(_endpoint, request):
         yield scripted.stream_head(request)
@@ -47,7 +47,7 @@
 
 
 def slow(seconds):
-    """Return a script that answers after so many seconds."""
+    """Return a script that answers after a delay in seconds."""
 
     def script(_endpoint, request):
         if seconds:
@@ -58,7 +58,7 @@
 
 
 class Life(gateway_base.GatewayCase):
-    """One gateway, and what happens around it."""
+    """One gateway with changes of its store, endpoints and process."""
 
     def setUp(self):
         """Publish a route."""
@@ -66,8 +66,8 @@
         self.publish(route("book", "app", "unsafe"))
 
     def test_a_stop_cuts_no_request(self):
-        # Operators replace gateways one after the other.  A booking that a
-        # gateway has taken must get its answer although it was told to stop.
+        # A booking gets no answer because its gateway stops, as happens when
+        # operators replace gateways one after the other.
         self.endpoint("one", slow(1.0))
         front = self.gateway()
         asked = base.Background(self.ask, [(front, "/book/x", "a1")])
@@ -80,9 +80,9 @@
         self.assertEqual(self.dep.wait_end("gateway-1", 4), 0)
 
     def test_a_request_taken_late_in_a_stop_is_finished(self):
-        # Callers keep an address for seconds and come to a gateway that is
-        # about to stop.  It takes their requests for a while; the moment at
-        # which it takes no more must not cut those that it has taken.
+        # A request is cut when a stopping gateway closes its listener.
+        # Callers cache addresses for seconds, so a stopping gateway accepts
+        # requests for a while, and must finish those that it accepted.
         self.endpoint("one", slow(0.7))
         front = self.gateway()
         self.terminate()
@@ -92,7 +92,7 @@
         self.assertEqual(self.dep.wait_end("gateway-1", 4), 0)
 
     def test_a_stream_longer_than_the_rest_of_a_stop_is_not_begun(self):
-        # Taken shortly before the process ended, it would break off midway.
+        # A stream that starts shortly before the process ends is cut midway.
         self.publish(route("chat", "model", "stream", resumable=True))
         engine = self.endpoint(
             "one", long_answer(40, 0.05), "model", stage="decode"
@@ -108,7 +108,7 @@
         self.assertEqual(engine.requests, [])
 
     def test_a_short_stream_is_served_late_in_a_stop(self):
-        # Refusing everything would send callers away that can be served.
+        # A stopping gateway refuses streams that it could still finish.
         self.publish(route("chat", "model", "stream", resumable=True))
         self.endpoint("one", long_answer(3, 0.02), "model", stage="decode")
         front = self.gateway()
@@ -120,7 +120,7 @@
         self.assertEqual(answer.status_code, 200)
 
     def connect(self, front):
-        """Return a plain connection to a gateway, for bytes of our own."""
+        """Return a TCP connection to a gateway, for raw bytes."""
         host, _, port = front.rpartition(":")
         peer = socket.create_connection((host, int(port)), timeout=5)
         self.addCleanup(peer.close)
@@ -151,7 +151,8 @@
         self.assertEqual(read_all(peer).count(b"HTTP/1.1 200"), 2)
 
     def test_an_idle_connection_is_served_until_the_end_of_a_stop(self):
-        # Callers use what they keep until the process is gone.
+        # A request on an idle connection fails although the process runs:
+        # callers reuse their connections until the process has ended.
         self.endpoint("one", slow(0))
         front = self.gateway()
         peer = self.connect(front)
@@ -165,7 +166,8 @@
         self.assertIn(b"connection: close", answer.lower())
 
     def test_nothing_goes_wrong_in_a_process_that_ends(self):
-        # Probes and look-ups go on until the listeners are gone.
+        # Readiness probes that arrive during the shutdown raise an exception,
+        # as they go on until the listeners are closed.
         self.endpoint("one", slow(0))
         self.gateway()
         self.terminate()
@@ -176,7 +178,7 @@
         self.assertNotIn("Traceback", self.dep.log_of("gateway-1"))
 
     def test_a_body_that_arrives_across_the_listeners_end_is_answered(self):
-        # The process must not end with a request half read and time left.
+        # The process ends with a partly read request although time is left.
         self.endpoint("one", slow(0))
         front = self.gateway()
         self.terminate()
@@ -205,8 +207,8 @@
         self.assertEqual(answer.status_code, 503)
 
     def test_serving_goes_on_while_the_store_is_away(self):
-        # The store is down for minutes.  What is known stays in force;
-        # callers notice nothing.
+        # Callers get errors while the store is down for minutes, although the
+        # last known state stays valid.
         self.endpoint("one", slow(0))
         front = self.gateway()
         for mode in ("busy", "silent"):
@@ -234,8 +236,8 @@
         self.assertEqual(self.ask(front, "/book/x").status_code, 404)
 
     def test_history_that_is_gone_is_read_anew(self):
-        # The store drops its history while a gateway was behind.  Only the
-        # newest records say what was missed.
+        # A gateway misses changes because the store removed the history that
+        # it had not read yet; only the newest records show them.
         self.endpoint("one", slow(0))
         front = self.gateway()
         for topic in ("keyed.op", "keyed.servers"):
@@ -261,8 +263,8 @@
         self.assertEqual(len(staying.requests), 5)
 
     def test_without_a_configuration_requests_get_503(self):
-        # A process that starts while the store is away knows no route.  It
-        # must not say 404 for what operators allow.
+        # A process that starts while the store is unavailable knows no route
+        # and answers 404 for routes that operators have published.
         self.set_store_mode("busy")
         front = self.start_without_waiting()
         answer = self.until_listening(front)
--- a/tests/integration/test_gateway_stages.py
+++ b/tests/integration/test_gateway_stages.py
@@ -1,4 +1,4 @@
-"""Changes of engines' stages by gateways that are killed meanwhile."""
+"""Stage changes of engines while gateways are killed."""
 
 import json
 import threading
@@ -12,9 +12,9 @@
 from tests.integration import test_gateway_streams
 
 NAMES = ("gateway-1", "gateway-2", "gateway-3")
-# The deployment's bound for service after the machines are back.
+# The deployment's bound for serving again after the machines restarted.
 RECOVER_SECONDS = 12.0
-# After an order was carried out, until nothing of it can be under way.
+# Time after an executed order until none of its effects can be pending.
 SETTLED_SECONDS = 8.0
 GAP_SECONDS = 0.2
 
@@ -31,14 +31,14 @@
         self.endpoint = case.endpoint(name, self._script, "model", stage=stage)
 
     def leave(self):
-        """Be gone: nothing listens and the record is removed."""
+        """Stop listening and remove the engine's record."""
         self.endpoint.close()
         self._case.put(gateway_base.ENDPOINTS_TOPIC, self.name, b"")
 
     def _script(self, _endpoint, request):
         if request.target == "/report":
-            told = json.dumps({"sequence": len(self.holders)})
-            yield scripted.answer(request, told.encode())
+            report = json.dumps({"sequence": len(self.holders)})
+            yield scripted.answer(request, report.encode())
         elif request.target == "/order":
             order = json.loads(request.body)
             self.holders.append(order["holder_id"])
@@ -62,7 +62,7 @@
     """Three gateways and two engines, of which one decodes."""
 
     def setUp(self):
-        """Let a gateway order one of two engines to read prompts."""
+        """Wait until a gateway has ordered one of two engines to prefill."""
         super().setUp()
         self.publish(
             gateway_base.route("chat", "model", "stream", resumable=True)
@@ -72,15 +72,15 @@
             self.start_without_waiting(name, f"127.0.0.{number}")
             for number, name in enumerate(NAMES, 1)
         ]
-        self.reading = bringup.wait_until(
-            lambda: self._with_stage("prefill"), what="an engine that reads"
+        self.prefill_engine = bringup.wait_until(
+            lambda: self._with_stage("prefill"), what="a prefill engine"
         )
 
     def _with_stage(self, stage):
         return next((e for e in self.engines if e.stage == stage), None)
 
-    def lose_decoding_engine_and(self, back):
-        """Kill all gateways as the engine goes; start those named again."""
+    def lose_decode_engine_and_restart(self, back):
+        """Kill all gateways, remove the engine, and restart ``back``."""
         for name in NAMES:
             self.dep.kill(name)
         self._with_stage("decode").leave()
@@ -106,17 +106,19 @@
         return self.ask(front, "/chat/x", **headers)
 
     def test_restart_of_all_gateways_soon_after_an_order(self):
-        # Guards against waiting for the lease of a process that has ended.
-        self.lose_decoding_engine_and(NAMES)
+        # Nothing is served while gateways wait for the lease of a process
+        # that has ended.
+        self.lose_decode_engine_and_restart(NAMES)
         took = self.seconds_until_served(self.fronts[0])
         self.assertLess(took, RECOVER_SECONDS)
 
     def test_restart_without_the_gateway_that_held_the_lease(self):
-        # Guards against leases that outlive the order they were claimed for.
+        # Nothing is served while gateways wait for a lease that its holder
+        # kept after the effects of its order were over.
         time.sleep(SETTLED_SECONDS)
-        (holder,) = self.reading.holders
+        (holder,) = self.prefill_engine.holders
         back = [name for name in NAMES if name != holder]
-        self.lose_decoding_engine_and(back)
+        self.lose_decode_engine_and_restart(back)
         front = self.fronts[NAMES.index(back[0])]
         took = self.seconds_until_served(front)
         self.assertLess(took, RECOVER_SECONDS)
--- a/tests/integration/test_signals.py
+++ b/tests/integration/test_signals.py
@@ -223,7 +223,9 @@
             with self.subTest(mode):
                 self.set_store_mode(mode)
                 front = self.start_without_waiting()
-                bringup.wait_until(lambda: self._listens(front), what="start")
+                bringup.wait_until(
+                    lambda: self._accepts_connections(front), what="start"
+                )
                 self.send(signal.SIGHUP, signal.SIGTERM, signal.SIGHUP)
                 self.assertEqual(self.dep.wait_end("gateway-1", 5), 0)
 
