--- a/bench/soak/__main__.py
+++ b/bench/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Random faults over running gateways, then the checks.
+"""Inject random faults into running gateways and check the guarantees.
 
 Usage:
   soak [--seed=N] [--minutes=M] [--gateways=G] [--only=KIND]... [--planned]
@@ -8,10 +8,10 @@
   --minutes=M   How long to run [default: 1].
   --gateways=G  How many gateways [default: 3].
   --only=KIND   Only faults of this kind.
-  --planned     Only planned work: stops, hang-ups, new configurations and
-                endpoints that leave.
+  --planned     Only planned work: stops, SIGHUP, new configurations and
+                endpoints that drain.
 
-Exit codes: 0 no promise broken, 1 some were.
+Exit codes: 0 no guarantee broken, 1 some were.
 """
 
 import collections
@@ -24,38 +24,38 @@
 
 
 def main():
-    """Run one seed and print what was broken."""
+    """Run one seed and print the guarantees that were broken."""
     options = docopt.docopt(__doc__)
-    run = faults.Soak(
+    soak = faults.Soak(
         int(options["--seed"]),
         float(options["--minutes"]) * 60,
         int(options["--gateways"]),
         tuple(options["--only"]),
         options["--planned"],
     )
-    watch = lateness.Watch()
-    watch.start()
-    broken = run.go()
-    late = watch.stop()
-    ledger = run.ledger
-    told = collections.Counter(
+    monitor = lateness.LatenessMonitor()
+    monitor.start()
+    violations = soak.run()
+    delay = monitor.stop()
+    history = soak.history
+    count_by_end = collections.Counter(
         sent.failure.value if sent.failure else str(sent.status)
-        for sent in ledger.sent
+        for sent in history.sent
     )
     ends = ", ".join(
-        f"{end}: {number}" for end, number in sorted(told.items())
+        f"{end}: {number}" for end, number in sorted(count_by_end.items())
     )
     print(
-        f"seed {options['--seed']}: {len(ledger.faults)} faults, "
-        f"{len(ledger.sent)} requests ({ends}), "
-        f"{len(ledger.orders)} orders, {len(broken)} promises broken; "
-        f"own threads late by {late.seconds:.2f} s at {late.at:.1f} s"
+        f"seed {options['--seed']}: {len(history.faults)} faults, "
+        f"{len(history.sent)} requests ({ends}), "
+        f"{len(history.orders)} orders, {len(violations)} guarantees broken; "
+        f"own threads up to {delay.seconds:.2f} s late, at {delay.at:.1f} s"
     )
-    for at, what in ledger.faults if broken else ():
+    for at, what in history.faults if violations else ():
         print(f"  {at:7.2f} s {what}")
-    for sentence in broken:
+    for sentence in violations:
         print(f"BROKEN {sentence}")
-    sys.exit(1 if broken else 0)
+    sys.exit(1 if violations else 0)
 
 
 if __name__ == "__main__":
--- a/bench/soak/callers.py
+++ b/bench/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers that keep their connections open, and note what they get."""
+"""Callers that keep connections open and record each outcome."""
 
 import http.client
 import random
@@ -8,17 +8,17 @@
 import typing
 
 from bench.soak import backends
-from bench.soak import ledger as ledger_module
+from bench.soak import history as history_module
 from tests.integration import gateway_base
 
 TIMEOUT_SECONDS = 6
-REST_SECONDS = 0.02
+REQUEST_GAP_SECONDS = 0.02
 CALL_LIMIT_SECONDS = 3.0
 STREAM_LIMIT_SECONDS = 5.0
 SLOW_LIMIT_SECONDS = 0.8
 SHORT_EVENTS = 12
 LONG_SECONDS = (0.3, 2.5)
-LEAVE_SECONDS = (0.05, 0.4)
+ABANDON_AFTER_SECONDS = (0.05, 0.4)
 
 KINDS = (
     "safe",
@@ -29,13 +29,13 @@
     "long",
     "leaving",
 )
-# A slow call occupies its endpoint, so that only a few are sent.
+# A slow call occupies its endpoint, so only a few are sent.
 SLOW_KINDS = ("slow", "waiting")
-SLOW_SHARE = 0.06
-STREAMS = ("stream", "long", "leaving")
+SLOW_FRACTION = 0.06
+STREAM_KINDS = ("stream", "long", "leaving")
 # The two kinds that end when their caller leaves: a stream, and a call
 # without any byte of an answer.
-LEAVING = ("leaving", "waiting")
+ABANDONING_KINDS = ("leaving", "waiting")
 PATH_BY_KIND = {
     "safe": "/look/x",
     "unsafe": "/book/x",
@@ -47,7 +47,7 @@
 }
 
 
-class _Wish(typing.NamedTuple):
+class _PlannedRequest(typing.NamedTuple):
     """A request before it is sent."""
 
     attempt: str
@@ -56,113 +56,116 @@
     events: int
     limit: float
     # After how many seconds the caller closes the connection.
-    leaves_after: float | None
+    abandon_after: float | None
 
 
 class Caller(threading.Thread):
-    """One caller; it keeps a connection to each place that it used."""
+    """One caller; it keeps a connection to each target that it used."""
 
-    def __init__(self, seed, ledger, routing, stop):
+    def __init__(self, seed, history, routing, stop):
         """Call until ``stop`` is set.
 
-        ``routing(draw)`` returns what picks the place of each request.
+        ``routing(rng)`` returns an object that picks the target of each
+        request.
         """
         super().__init__(daemon=True)
-        self._draw = random.Random(seed)
-        self._ledger = ledger
-        self._places = routing(self._draw)
+        self._rng = random.Random(seed)
+        self._history = history
+        self._targets = routing(self._rng)
         self._stop_event = stop
-        self._connection_by_place = {}
+        self._connection_by_target = {}
 
     def run(self):
-        """Call and rest by turns."""
+        """Send requests with a pause after each."""
         while not self._stop_event.is_set():
-            place = self._places.pick(self._connection_by_place)
-            wish = self._wish()
-            if place is not None and wish is not None:
-                self._call(place, wish)
-            time.sleep(REST_SECONDS)
-
-    def _wish(self):
-        kind = self._draw.choice(KINDS)
-        if self._draw.random() < SLOW_SHARE:
-            kind = self._draw.choice(SLOW_KINDS)
+            target = self._targets.pick(self._connection_by_target)
+            request = self._draw_request()
+            if target is not None and request is not None:
+                self._call(target, request)
+            time.sleep(REQUEST_GAP_SECONDS)
+
+    def _draw_request(self):
+        kind = self._rng.choice(KINDS)
+        if self._rng.random() < SLOW_FRACTION:
+            kind = self._rng.choice(SLOW_KINDS)
         path = PATH_BY_KIND.get(kind)
         if path is None:
-            if not self._ledger.versions:
+            if not self._history.versions:
                 return None
-            path = f"/new{self._ledger.versions[-1][0]}/x"
+            path = f"/new{self._history.versions[-1][0]}/x"
         events = 0
         limit = SLOW_LIMIT_SECONDS if kind == "slow" else CALL_LIMIT_SECONDS
-        leaves_after = None
-        if kind in STREAMS:
+        abandon_after = None
+        if kind in STREAM_KINDS:
             limit = STREAM_LIMIT_SECONDS
             events = SHORT_EVENTS
         if kind in ("long", "leaving"):
-            seconds = self._draw.uniform(*LONG_SECONDS)
-            events = int(seconds / backends.PAUSE_SECONDS)
-        if kind in LEAVING:
-            leaves_after = self._draw.uniform(*LEAVE_SECONDS)
-        return _Wish(
-            secrets.token_hex(8), kind, path, events, limit, leaves_after
+            seconds = self._rng.uniform(*LONG_SECONDS)
+            events = int(seconds / backends.EVENT_INTERVAL_SECONDS)
+        if kind in ABANDONING_KINDS:
+            abandon_after = self._rng.uniform(*ABANDON_AFTER_SECONDS)
+        return _PlannedRequest(
+            secrets.token_hex(8), kind, path, events, limit, abandon_after
         )
 
-    def _call(self, place, wish):
-        self._ledger.begin(wish.attempt)
+    def _call(self, target, request):
+        self._history.record_attempt(request.attempt)
         start = time.monotonic()
-        status, body, failure = self._ask(place, wish)
+        status, body, failure = self._send(target, request)
         ended = time.monotonic()
-        if failure is not None and failure != ledger_module.Failure.ABANDONED:
-            self._places.note_failure(place)
-        numbers = _numbers(body) if wish.events else ()
-        if wish.events:
-            right = numbers == tuple(range(1, wish.events + 1))
+        if failure is not None and failure != history_module.Failure.ABANDONED:
+            self._targets.record_failure(target)
+        numbers = _event_numbers(body) if request.events else ()
+        if request.events:
+            is_correct = numbers == tuple(range(1, request.events + 1))
         else:
-            right = body == backends.body_of(wish.attempt, wish.path)
-        sent = ledger_module.Sent(
-            wish.attempt,
-            wish.kind,
-            place.gateway,
-            wish.path,
+            is_correct = body == backends.plain_body(
+                request.attempt, request.path
+            )
+        sent = history_module.SentRequest(
+            request.attempt,
+            request.kind,
+            target.gateway,
+            request.path,
             start,
             ended,
             status,
-            right,
+            is_correct,
             numbers,
             failure,
-            wish.limit,
+            request.limit,
         )
-        rows = self._ledger.sent
-        if wish.kind == "probe":
-            rows = self._ledger.probes
-        self._ledger.add(rows, sent)
+        rows = self._history.sent
+        if request.kind == "probe":
+            rows = self._history.probes
+        self._history.add(rows, sent)
 
-    def _ask(self, place, wish):
+    def _send(self, target, request):
         """Return status, body and failure of a request."""
-        connection = self._connection_by_place.pop(place, None)
+        connection = self._connection_by_target.pop(target, None)
         try:
             if connection is None:
-                connection = _connect(place)
+                connection = _connect(target)
         except OSError:
-            return None, b"", ledger_module.Failure.NOT_CONNECTED
+            return None, b"", history_module.Failure.NOT_CONNECTED
         try:
-            # Equal bodies would be taken for one request that comes again.
-            body = wish.attempt.encode()
-            connection.request("POST", wish.path, body, _headers(wish))
+            # Requests with equal bodies would be taken for repeats of one.
+            body = request.attempt.encode()
+            connection.request("POST", request.path, body, _headers(request))
         except OSError:
             connection.close()
-            return None, b"", ledger_module.Failure.NOT_SENT
-        status, body, failure = _receive(connection, wish)
+            return None, b"", history_module.Failure.NOT_SENT
+        status, body, failure = _receive(connection, request)
         if failure is not None or connection.sock is None:
             connection.close()
         else:
             connection.sock.settimeout(TIMEOUT_SECONDS)
-            self._connection_by_place[place] = connection
+            self._connection_by_target[target] = connection
         return status, body, failure
 
 
-def _connect(place):
-    host, _, port = place.address.rpartition(":")
+def _connect(target):
+    host, _, port = target.address.rpartition(":")
     connection = http.client.HTTPConnection(
         host, int(port), timeout=TIMEOUT_SECONDS
     )
@@ -170,49 +173,49 @@
     return connection
 
 
-def _headers(wish):
-    # The route's timeout is the limit of a slow call, not the deadline.
-    limit = CALL_LIMIT_SECONDS if wish.kind == "slow" else wish.limit
+def _headers(request):
+    # A slow call is limited by its route's timeout, not by the deadline.
+    limit = CALL_LIMIT_SECONDS if request.kind == "slow" else request.limit
     headers = {
         "Host": gateway_base.HOST,
-        "Attempt-Id": wish.attempt,
+        "Attempt-Id": request.attempt,
         "Deadline-Ms": str(int(limit * 1_000)),
     }
-    if wish.events:
+    if request.events:
         headers["Model"] = "m"
-        headers["Token-Usage"] = backends.usage_of(wish.events)
+        headers["Token-Usage"] = backends.token_usage(request.events)
         headers["Prompt-Prefix"] = "aa:40,bb:40,cc:20"
     return headers
 
 
-def _receive(connection, wish):
+def _receive(connection, request):
     body = b""
-    leaves_at = float("inf")
-    if wish.leaves_after is not None:
-        leaves_at = time.monotonic() + wish.leaves_after
-        connection.sock.settimeout(wish.leaves_after)
+    abandon_at = float("inf")
+    if request.abandon_after is not None:
+        abandon_at = time.monotonic() + request.abandon_after
+        connection.sock.settimeout(request.abandon_after)
     try:
         answer = connection.getresponse()
         while piece := answer.read1(65_536):
             body += piece
-            if time.monotonic() >= leaves_at:
+            if time.monotonic() >= abandon_at:
                 answer.close()
-                return None, body, ledger_module.Failure.ABANDONED
+                return None, body, history_module.Failure.ABANDONED
         # read1 doesn't raise when a body with a length ends early.
         if answer.length:
-            return None, body, ledger_module.Failure.CLOSED
-        # Only a closed answer lets the connection be used again.
+            return None, body, history_module.Failure.CLOSED
+        # The connection can be reused only after the answer is closed.
         answer.close()
         return answer.status, body, None
     except TimeoutError:
-        if wish.leaves_after is not None:
-            return None, body, ledger_module.Failure.ABANDONED
-        return None, body, ledger_module.Failure.TIMED_OUT
+        if request.abandon_after is not None:
+            return None, body, history_module.Failure.ABANDONED
+        return None, body, history_module.Failure.TIMED_OUT
     except (OSError, http.client.HTTPException):
-        return None, body, ledger_module.Failure.CLOSED
+        return None, body, history_module.Failure.CLOSED
 
 
-def _numbers(body):
-    """Return the numbers of the whole events in a body."""
+def _event_numbers(body):
+    """Return the numbers of the complete events in a body."""
     events = body.split(b"\n\n")[:-1]
     return tuple(int(event.split(b"\n")[0][4:]) for event in events)
--- a/bench/soak/deployment.py
+++ b/bench/soak/deployment.py
@@ -1,4 +1,4 @@
-"""The store, gateways and endpoints of a run, and what is done to them."""
+"""The store, gateways and endpoints of a run, and actions on them."""
 
 import random
 import threading
@@ -6,11 +6,11 @@
 
 import httpx
 
+from bench.soak import addresses
 from bench.soak import backends
 from bench.soak import bounds
 from bench.soak import callers
-from bench.soak import directory
-from bench.soak import ledger as ledger_module
+from bench.soak import history as history_module
 from standins import bringup
 from tests.integration import gateway_base
 
@@ -23,29 +23,29 @@
 
 class _Case(gateway_base.GatewayCase):
     def runTest(self):
-        """Nothing is tested here; only the set-up is used."""
+        """Do nothing: only the set-up of the test case is used."""
 
 
 class Deployment:
-    """All parts of one run; the kinds of fault act upon it."""
+    """All parts of one run, on which the kinds of fault act."""
 
     def __init__(self, seed, gateways):
         """Prepare ``gateways`` gateways; :meth:`bring_up` starts them."""
-        self.draw = random.Random(seed)
+        self.rng = random.Random(seed)
         self.gateways = [f"gateway-{n + 1}" for n in range(gateways)]
         self.case = _Case()
-        self.ledger = ledger_module.Ledger()
+        self.history = history_module.History()
         self.backend_by_name = {}
         self.proxies = []
         self.stopping = threading.Event()
         self._front_by_gateway = {}
-        self._busy = set()
+        self._reserved = set()
         self._lock = threading.Lock()
         self._serial = 0
         self._started = 0.0
 
     def bring_up(self):
-        """Start everything and wait until the gateways are ready."""
+        """Start all parts and wait until the gateways are ready."""
         case = self.case
         case.setUp()
         self.publish()
@@ -74,7 +74,7 @@
         self._started = time.monotonic()
 
     def close(self):
-        """End endpoints and processes."""
+        """Close the endpoints and end the processes."""
         self.stopping.set()
         for backend in self.backend_by_name.values():
             backend.end()
@@ -84,12 +84,14 @@
         """Start callers and readiness checks; return their threads."""
         threads = [
             callers.Caller(
-                seed, self.ledger, self._routing(seed), self.stopping
+                seed, self.history, self._routing(seed), self.stopping
             )
             for seed in range(NAMED_CALLERS + DIRECTORY_CALLERS)
         ]
         threads += [
-            threading.Thread(target=self._watch, args=(name,), daemon=True)
+            threading.Thread(
+                target=self._poll_readiness, args=(name,), daemon=True
+            )
             for name in self.gateways
         ]
         for thread in threads:
@@ -97,40 +99,42 @@
         return threads
 
     def _routing(self, seed):
-        """Return what picks the gateways of a caller."""
+        """Return a function that creates the target picker of a caller."""
         if seed < NAMED_CALLERS:
-            return lambda draw: directory.NamedGateways(
-                draw, self._front_by_gateway
+            return lambda rng: addresses.NamedGateways(
+                rng, self._front_by_gateway
             )
         listen = self.case.listen_by_name
-        return lambda draw: directory.Directory(draw, listen)
+        return lambda rng: addresses.ResolvedAddresses(rng, listen)
 
-    def _watch(self, name):
+    def _poll_readiness(self, name):
         while not self.stopping.wait(READINESS_SECONDS):
-            row = ledger_module.Readiness(
+            row = history_module.Readiness(
                 name, time.monotonic(), self.case.is_ready(name)
             )
-            self.ledger.add(self.ledger.readiness, row)
+            self.history.add(self.history.readiness, row)
 
     # Endpoints and the store.
 
     def _proxy(self, name, target, served):
         """Put a proxy before ``target``; ``served`` depends on it."""
-        where = self.case.dep.proxy(name, target)
+        proxy_address = self.case.dep.proxy(name, target)
         self.proxies.append((name, served))
-        return where
+        return proxy_address
 
     def add_endpoint(self, name, service, stage=None):
         """Start an endpoint and register it."""
-        backend = backends.Backend(name, service, self.ledger, self.put, stage)
+        backend = backends.Backend(
+            name, service, self.history, self.put, stage
+        )
         address = self._proxy(f"proxy-{name}", backend.endpoint.address, name)
-        backend.appear(address)
+        backend.register(address)
         self.backend_by_name[name] = backend
 
     def replace_endpoint(self, name, old):
-        """Bring a new endpoint in place of an old one, under a new id."""
-        fresh = f"{name.split('~')[0]}~{time.monotonic_ns()}"
-        self.add_endpoint(fresh, old.service, old.stage and "decode")
+        """Replace an endpoint by a new one under a new id."""
+        new_name = f"{name.split('~')[0]}~{time.monotonic_ns()}"
+        self.add_endpoint(new_name, old.service, old.stage and "decode")
         self.backend_by_name.pop(name, None)
         self.release(name)
 
@@ -141,7 +145,7 @@
                 gateway_base.ENDPOINTS_TOPIC, name, b"" if row is None else row
             )
         except httpx.HTTPError as exc:
-            print(f"record of {name} not written: {exc!r}")
+            print(f"record of endpoint {name} not written: {exc!r}")
 
     def publish(self):
         """Publish a version with a route that no earlier one had."""
@@ -149,61 +153,61 @@
             self._serial += 1
             self.case.publish(*_routes(self._serial), version=self._serial)
             row = (self._serial, time.monotonic())
-        self.ledger.add(self.ledger.versions, row)
+        self.history.add(self.history.versions, row)
 
-    # What the kinds of fault share.
+    # Helpers for the kinds of fault.
 
-    def later(self, function, *arguments):
+    def run_in_thread(self, function, *arguments):
         """Run a function in a thread and return the thread."""
         thread = threading.Thread(target=function, args=arguments)
         thread.start()
         return thread
 
     def reserve(self, name):
-        """Reserve a target: two faults at one would end each other."""
+        """Reserve a target: two faults at one would undo each other."""
         with self._lock:
-            if name in self._busy:
+            if name in self._reserved:
                 return False
-            self._busy.add(name)
+            self._reserved.add(name)
             return True
 
     def release(self, name):
-        """Let other faults have a target."""
+        """Release a target for other faults."""
         with self._lock:
-            self._busy.discard(name)
+            self._reserved.discard(name)
 
     def is_reserved(self, name):
-        """Tell whether some fault has the target."""
-        return name in self._busy
+        """Return whether a fault holds the target."""
+        return name in self._reserved
 
     def reserve_gateway(self):
         """Draw and reserve a gateway, ``None`` if it is taken."""
-        name = self.draw.choice(self.gateways)
+        name = self.rng.choice(self.gateways)
         return name if self.reserve(name) else None
 
     def reserve_endpoint(self):
         """Draw and reserve an endpoint, ``None`` if it is taken."""
-        name = self.draw.choice(sorted(self.backend_by_name))
+        name = self.rng.choice(sorted(self.backend_by_name))
         return name if self.reserve(name) else None
 
-    def note(self, what):
-        """Note a fault for the report."""
+    def record_fault(self, what):
+        """Record a fault for the report."""
         row = (time.monotonic() - self._started, what)
-        self.ledger.add(self.ledger.faults, row)
+        self.history.add(self.history.faults, row)
 
     def process(self, name):
-        """Return the present process of a gateway."""
+        """Return the current process of a gateway."""
         return self.case.dep.process_by_name[name]
 
     def restart(self, name, after):
-        """Start a gateway anew after so many seconds, and release it."""
+        """Restart a gateway after ``after`` seconds and release it."""
         time.sleep(after)
         self.case.dep.start(name)
         self.wait_ready(name)
         self.release(name)
 
     def wait_ready(self, name):
-        """Wait for a gateway that was started, or for the end of the run."""
+        """Wait until a started gateway is ready or the run ends."""
         bringup.wait_until(
             lambda: self.case.is_ready(name) or self.stopping.is_set(),
             what=name,
--- a/bench/soak/faults.py
+++ b/bench/soak/faults.py
@@ -1,39 +1,39 @@
-"""A seeded run: which kinds of fault come when, then the checks."""
+"""A seeded run: faults of random kinds at random times, then the checks."""
 
 import time
 
 from bench.soak import checks
 from bench.soak import deployment
 from bench.soak import planned_work
-from bench.soak import unplanned
+from bench.soak import unplanned_faults
 
 GAP_SECONDS = (0.3, 2.0)
 LENGTH_SECONDS = (0.4, 4.0)
 SETTLE_SECONDS = 5.0
 
-# Seeds draw from this table: a kind more or less changes what each one does.
+# Seeds draw from this table: adding or removing a kind changes every run.
 KINDS = {
-    "signal": unplanned.pause,
-    "kill": unplanned.kill,
+    "signal": unplanned_faults.pause,
+    "kill": unplanned_faults.kill,
     "term": planned_work.stop,
-    "hup": planned_work.hang_up,
-    "proxy": unplanned.disturb_proxy,
-    "store": unplanned.disturb_store,
-    "crash": unplanned.crash,
-    "leave": planned_work.leave,
-    "publish": planned_work.change,
+    "hup": planned_work.reload,
+    "proxy": unplanned_faults.disturb_proxy,
+    "store": unplanned_faults.disturb_store,
+    "crash": unplanned_faults.crash,
+    "leave": planned_work.drain_endpoint,
+    "publish": planned_work.publish_configuration,
 }
 PLANNED_KINDS = {
     "stop": planned_work.stop,
     "stop-two": planned_work.stop_two,
     "stop-twice": planned_work.stop_twice,
     "stop-after-start": planned_work.stop_after_start,
-    "hup": planned_work.hang_up,
-    "hup-in-drain": planned_work.hang_up_in_drain,
-    "hup-and-stop": planned_work.hang_up_and_stop,
-    "leave": planned_work.leave,
-    "publish": planned_work.change,
-    "publish-series": planned_work.change_in_series,
+    "hup": planned_work.reload,
+    "hup-in-drain": planned_work.reload_while_draining,
+    "hup-and-stop": planned_work.reload_and_stop,
+    "leave": planned_work.drain_endpoint,
+    "publish": planned_work.publish_configuration,
+    "publish-series": planned_work.publish_series,
 }
 
 
@@ -41,19 +41,19 @@
     """One seeded run."""
 
     def __init__(self, seed, seconds, gateways=3, only=(), planned=False):
-        """Prepare; :meth:`go` does the work.
+        """Prepare the run; :meth:`run` executes it.
 
         ``planned`` leaves out all faults but planned work.
         """
         self._seconds = seconds
         self._only = only
-        self._begin_by_kind = PLANNED_KINDS if planned else KINDS
+        self._function_by_kind = PLANNED_KINDS if planned else KINDS
         self._planned = planned
         self._deployment = deployment.Deployment(seed, gateways)
-        self.ledger = self._deployment.ledger
+        self.history = self._deployment.history
 
-    def go(self):
-        """Run, and return a sentence for each broken promise."""
+    def run(self):
+        """Run, and return a sentence for each broken guarantee."""
         try:
             self._deployment.bring_up()
             threads = self._deployment.start_clients()
@@ -62,32 +62,38 @@
             self._deployment.stopping.set()
             for thread in threads:
                 thread.join(30)
-            return [*checks.judge(self.ledger), *self._ended_gateways()]
+            return [
+                *checks.find_violations(self.history),
+                *self._ended_gateways(),
+            ]
         finally:
             self._deployment.close()
 
     def _kinds(self):
         """Return the kinds that this run draws from."""
-        names = sorted(self._begin_by_kind)
-        # A run with all kinds at once leaves no gateway calm for long, and
-        # what must hold at calm ones goes unchecked: each seed draws some.
-        drawn = self._deployment.draw.sample(
-            names, self._deployment.draw.randint(2, 5)
+        names = sorted(self._function_by_kind)
+        # With all kinds at once no gateway stays undisturbed for long, and
+        # guarantees that hold only for undisturbed ones would go unchecked.
+        # So each seed draws a few kinds.
+        drawn = self._deployment.rng.sample(
+            names, self._deployment.rng.randint(2, 5)
         )
         if self._only:
             return self._only
         return tuple(names if self._planned else drawn)
 
     def _inject(self):
-        draw = self._deployment.draw
+        rng = self._deployment.rng
         kinds = self._kinds()
         end = time.monotonic() + self._seconds
         threads = []
         while time.monotonic() < end:
-            kind = draw.choice(kinds)
-            length = draw.uniform(*LENGTH_SECONDS)
-            threads.append(self._begin_by_kind[kind](self._deployment, length))
-            time.sleep(draw.uniform(*GAP_SECONDS))
+            kind = rng.choice(kinds)
+            length = rng.uniform(*LENGTH_SECONDS)
+            threads.append(
+                self._function_by_kind[kind](self._deployment, length)
+            )
+            time.sleep(rng.uniform(*GAP_SECONDS))
         for thread in threads:
             if thread is not None:
                 thread.join()
@@ -95,4 +101,4 @@
     def _ended_gateways(self):
         for name in self._deployment.gateways:
             if self._deployment.process(name).poll() is not None:
-                yield f"{name} ended by itself"
+                yield f"{name} ended without being stopped"
--- a/bench/soak/ledger.py
+++ b/bench/soak/history.py
@@ -1,4 +1,4 @@
-"""What callers, endpoints and the operator saw in a run."""
+"""What callers, endpoints and the operator recorded in a run."""
 
 import enum
 import threading
@@ -7,10 +7,10 @@
 
 
 class Failure(enum.Enum):
-    """Why a caller got no whole answer."""
+    """Why a caller got no complete answer."""
 
     NOT_CONNECTED = "not connected"
-    # The request wasn't sent whole.
+    # The request wasn't sent completely.
     NOT_SENT = "not sent"
     CLOSED = "closed"
     TIMED_OUT = "timed out"
@@ -18,10 +18,10 @@
     ABANDONED = "abandoned"
 
 
-class Sent(typing.NamedTuple):
+class SentRequest(typing.NamedTuple):
     """A request as a caller sent it, and what came back.
 
-    ``status`` is ``None`` if no whole answer came, and ``failure`` says why;
+    ``status`` is ``None`` if no complete answer came; ``failure`` says why;
     ``numbers`` are the events of a stream.  Times are monotonic seconds,
     ``limit`` is the earlier of deadline and route timeout, in seconds.
     """
@@ -33,14 +33,14 @@
     at: float
     ended: float
     status: int | None
-    right: bool
+    is_correct: bool
     numbers: tuple[int, ...] = ()
     failure: Failure | None = None
     limit: float = 3.0
 
 
 class Run(typing.NamedTuple):
-    """That an endpoint began to work on a request."""
+    """The start of an endpoint's work on a request."""
 
     attempt: str
     endpoint: str
@@ -49,16 +49,16 @@
 
 
 class RunEnd(typing.NamedTuple):
-    """That an endpoint stopped work on a request; ``whole`` if complete."""
+    """The end of an endpoint's work on a request."""
 
     attempt: str
     endpoint: str
     at: float
-    whole: bool
+    is_complete: bool
 
 
 class Arrival(typing.NamedTuple):
-    """That a request reached an endpoint, whether it ran or not."""
+    """The arrival of a request at an endpoint, whether it ran or not."""
 
     attempt: str
     endpoint: str
@@ -95,8 +95,8 @@
     is_ready: bool
 
 
-class Trouble(typing.NamedTuple):
-    """That something was done to a target, or to all if it is ``None``.
+class Disturbance(typing.NamedTuple):
+    """A disturbance of one target, or of all if it is ``None``.
 
     The target is a gateway or an endpoint.  Planned work is what operators
     do to a gateway in normal service.
@@ -109,60 +109,60 @@
     is_planned: bool = False
 
 
-class Ledger:
-    """All that was seen; written to by many threads."""
+class History:
+    """All observations of a run; many threads write to it."""
 
     def __init__(self):
-        """Begin empty."""
+        """Create an empty history."""
         self._lock = threading.Lock()
         self.sent = []
         self.runs = []
         self.run_ends = []
         self.arrivals = []
         self.orders = []
-        self.troubles = []
+        self.disturbances = []
         self.stops = []
         self.readiness = []
-        self.left_by_endpoint = {}
+        self.drained_at_by_endpoint = {}
         self.versions = []
         self.probes = []
         self.faults = []
-        self.begun = set()
+        self.attempts = set()
 
     def add(self, rows, row):
         """Add a row to one of the lists."""
         with self._lock:
             rows.append(row)
 
-    def begin(self, attempt):
-        """Note an id before its request is sent."""
+    def record_attempt(self, attempt):
+        """Record the id of a request before it is sent."""
         with self._lock:
-            self.begun.add(attempt)
+            self.attempts.add(attempt)
 
-    def trouble(self, what, target, seconds, is_planned=False):
-        """Note that a target is disturbed for so long from now."""
+    def record_disturbance(self, what, target, seconds, is_planned=False):
+        """Record that a target is disturbed for ``seconds`` from now."""
         now = time.monotonic()
-        row = Trouble(what, target, now, now + seconds, is_planned)
-        self.add(self.troubles, row)
+        row = Disturbance(what, target, now, now + seconds, is_planned)
+        self.add(self.disturbances, row)
         return row
 
-    def is_calm(self, target, start, end):
-        """Tell whether nothing was done to a target in that time."""
-        return not any(self._troubles_of(target, start, end))
+    def has_no_disturbance(self, target, start, end):
+        """Return whether a target was undisturbed from start to end."""
+        return not any(self._disturbances_of(target, start, end))
 
-    def is_undisturbed(self, targets, start, end):
-        """Tell whether at most planned work was done to all the targets."""
+    def has_only_planned_work(self, targets, start, end):
+        """Return whether nothing but planned work disturbed the targets."""
         return all(
-            trouble.is_planned
+            disturbance.is_planned
             for target in targets
-            for trouble in self._troubles_of(target, start, end)
+            for disturbance in self._disturbances_of(target, start, end)
         )
 
-    def _troubles_of(self, target, start, end):
+    def _disturbances_of(self, target, start, end):
         return [
-            trouble
-            for trouble in list(self.troubles)
-            if trouble.target in (None, target)
-            and trouble.start <= end
-            and trouble.end >= start
+            disturbance
+            for disturbance in list(self.disturbances)
+            if disturbance.target in (None, target)
+            and disturbance.start <= end
+            and disturbance.end >= start
         ]
--- a/bench/soak/losses.py
+++ b/bench/soak/losses.py
@@ -1,28 +1,32 @@
-"""Judging whether accepted requests were answered."""
+"""Check that accepted requests were answered."""
 
 import collections
 
 from bench.soak import bounds
-from bench.soak import ledger as ledger_module
+from bench.soak import history as history_module
 
 
-def judge(ledger):
+def find_violations(history):
     """Yield a sentence for each request that was accepted and lost.
 
     A request counts as accepted once it has reached an endpoint, or if its
-    connection stayed open longer than one that crossed the close.  Only
-    planned work may have been done to its gateway and its endpoints.
+    connection stayed open too long for the request to have been sent while
+    the gateway closed it.
+    A loss counts only if nothing but planned work disturbed the gateway and
+    its endpoints.
     """
-    arrivals = _by_attempt(ledger.arrivals)
-    ends = _by_attempt(ledger.run_ends)
-    for sent in [*ledger.sent, *ledger.probes]:
+    arrivals = _by_attempt(history.arrivals)
+    ends = _by_attempt(history.run_ends)
+    for sent in [*history.sent, *history.probes]:
         reached = arrivals[sent.attempt]
-        if not _was_cut(sent, reached) or _is_disturbed(ledger, sent, reached):
+        if not _was_cut(sent, reached) or _is_disturbed(
+            history, sent, reached
+        ):
             continue
-        stop = _stop_of(ledger, sent)
+        stop = _overlapping_stop(history, sent)
         if stop and _is_excused(sent, stop, reached, ends[sent.attempt]):
             continue
-        yield _sentence(sent, stop, reached)
+        yield _describe(sent, stop, reached)
 
 
 def _by_attempt(rows):
@@ -33,26 +37,26 @@
 
 
 def _was_cut(sent, reached):
-    """Tell whether an accepted request was closed before its limit."""
-    if sent.failure is not ledger_module.Failure.CLOSED:
+    """Return whether an accepted request was closed before its limit."""
+    if sent.failure is not history_module.Failure.CLOSED:
         return False
-    crossing = bounds.LOSS_SLACK_SECONDS + bounds.SLACK_SECONDS
+    crossing = bounds.CLOSE_RACE_SECONDS + bounds.SLACK_SECONDS
     took = sent.ended - sent.at
     return took < sent.limit and (bool(reached) or took > crossing)
 
 
-def _is_disturbed(ledger, sent, reached):
-    """Tell whether something unplanned befell gateway or endpoints."""
+def _is_disturbed(history, sent, reached):
+    """Return whether a fault disturbed the gateway or the endpoints."""
     targets = {sent.gateway, *(arrival.endpoint for arrival in reached)}
-    start = sent.at - bounds.CALM_SECONDS
-    return not ledger.is_undisturbed(targets, start, sent.ended)
+    start = sent.at - bounds.RECOVERY_SECONDS
+    return not history.has_only_planned_work(targets, start, sent.ended)
 
 
-def _stop_of(ledger, sent):
-    """Return the stop of its process that a request met, or ``None``."""
+def _overlapping_stop(history, sent):
+    """Return the gateway's last stop during a request, or ``None``."""
     met = [
         stop
-        for stop in ledger.stops
+        for stop in history.stops
         if stop.gateway == sent.gateway
         and stop.at <= sent.ended
         and sent.at < stop.ended
@@ -61,14 +65,14 @@
 
 
 def _is_excused(sent, stop, reached, ends):
-    """Tell whether an engine needed the grace up for an early request."""
+    """Return whether work on an early request used up the grace."""
     if sent.at > stop.at + bounds.EARLY_IN_DRAIN_SECONDS or not reached:
         return False
     last = max((end.at for end in ends), default=sent.ended)
     return min(last, sent.ended) >= stop.at + bounds.END_OF_DRAIN_SECONDS
 
 
-def _sentence(sent, stop, reached):
+def _describe(sent, stop, reached):
     where = ", ".join(arrival.endpoint for arrival in reached) or "no endpoint"
     text = (
         f"{sent.gateway} lost {sent.attempt} ({sent.path}, at {where})"
--- a/bench/soak/planned_work.py
+++ b/bench/soak/planned_work.py
@@ -1,19 +1,20 @@
-"""Planned work: stops, hang-ups, new configurations, endpoints that leave."""
+"""Planned work: stops, SIGHUP, new configurations, draining endpoints."""
 
 import signal
 import subprocess
 import time
 
 from bench.soak import bounds
-from bench.soak import ledger as ledger_module
+from bench.soak import history as history_module
 
 # Seconds between a SIGTERM and a second signal to the same process.
 SECOND_SIGNAL_SECONDS = (0.0, 2.5)
-# Seconds between a start and the SIGTERM that follows soon.
-SOON_SECONDS = (0.2, 2.5)
-SERIES = 3
+# Seconds between a start and the SIGTERM that follows it.
+UPTIME_SECONDS = (0.2, 2.5)
+SERIES_LENGTH = 3
 SERIES_GAP_SECONDS = 0.15
-KILL_SECONDS = 2
+# Seconds beyond the grace after which a process is killed.
+EXIT_SLACK_SECONDS = 2
 
 
 def stop(deployment, length):
@@ -23,21 +24,23 @@
 
 def stop_two(deployment, length):
     """Stop two gateways within a second."""
-    drawn = deployment.draw.sample(deployment.gateways, 2)
-    gap = deployment.draw.uniform(0, 1)
+    drawn = deployment.rng.sample(deployment.gateways, 2)
+    gap = deployment.rng.uniform(0, 1)
     names = [name for name in drawn if deployment.reserve(name)]
 
     def both():
         threads = []
         for name in names:
             threads.append(
-                deployment.later(_stop_and_restart, deployment, name, length)
+                deployment.run_in_thread(
+                    _stop_and_restart, deployment, name, length
+                )
             )
             time.sleep(gap)
         for thread in threads:
             thread.join()
 
-    return deployment.later(both)
+    return deployment.run_in_thread(both)
 
 
 def stop_twice(deployment, length):
@@ -45,80 +48,82 @@
     return _stop_one(deployment, length, signal.SIGTERM)
 
 
-def hang_up_in_drain(deployment, length):
+def reload_while_draining(deployment, length):
     """Stop a gateway, and send SIGHUP while it drains."""
     return _stop_one(deployment, length, signal.SIGHUP)
 
 
 def stop_after_start(deployment, length):
-    """Stop a gateway, start it again and stop it soon after."""
+    """Stop a gateway, start it again and stop it shortly after."""
     name = deployment.reserve_gateway()
     if name is None:
         return None
-    soon = deployment.draw.uniform(*SOON_SECONDS)
+    uptime = deployment.rng.uniform(*UPTIME_SECONDS)
 
     def twice():
         _stop_and_wait(deployment, name, length)
         deployment.case.dep.start(name)
-        time.sleep(soon)
-        deployment.note(f"{name} was started {soon:.1f} s ago")
+        time.sleep(uptime)
+        deployment.record_fault(f"{name} was started {uptime:.1f} s ago")
         _stop_and_wait(deployment, name, length)
         deployment.restart(name, length)
 
-    return deployment.later(twice)
+    return deployment.run_in_thread(twice)
 
 
-def hang_up_and_stop(deployment, length):
-    """Send SIGHUP, and SIGTERM at once after it."""
+def reload_and_stop(deployment, length):
+    """Send SIGHUP, immediately followed by SIGTERM."""
     name = deployment.reserve_gateway()
     if name is None:
         return None
-    _hang_up(deployment, name)
-    return deployment.later(_stop_and_restart, deployment, name, length)
+    _send_sighup(deployment, name)
+    return deployment.run_in_thread(
+        _stop_and_restart, deployment, name, length
+    )
 
 
-def hang_up(deployment, _length):
-    """Send SIGHUP to a gateway that serves."""
-    name = deployment.draw.choice(deployment.gateways)
+def reload(deployment, _length):
+    """Send SIGHUP to a running gateway."""
+    name = deployment.rng.choice(deployment.gateways)
     if (
         not deployment.is_reserved(name)
         and deployment.process(name).poll() is None
     ):
-        _hang_up(deployment, name)
+        _send_sighup(deployment, name)
 
 
-def change(deployment, _length):
+def publish_configuration(deployment, _length):
     """Publish a new configuration."""
-    deployment.note("a new configuration")
+    deployment.record_fault("a new configuration is published")
     deployment.publish()
 
 
-def change_in_series(deployment, length):
+def publish_series(deployment, length):
     """Publish several configurations in a short time."""
-    for _ in range(SERIES):
-        change(deployment, length)
+    for _ in range(SERIES_LENGTH):
+        publish_configuration(deployment, length)
         time.sleep(SERIES_GAP_SECONDS)
 
 
-def leave(deployment, length):
-    """Let an endpoint drain and end, and bring another one."""
+def drain_endpoint(deployment, length):
+    """Drain and end an endpoint, and replace it by a new one."""
     name = deployment.reserve_endpoint()
     if name is None:
         return None
     old = deployment.backend_by_name[name]
-    deployment.note(f"{name} leaves")
+    deployment.record_fault(f"{name} drains")
     old.drain()
 
     def end():
-        time.sleep(bounds.LEAVING_SECONDS + length)
+        time.sleep(bounds.DRAINING_SECONDS + length)
         old.end()
         deployment.replace_endpoint(name, old)
 
-    return deployment.later(end)
+    return deployment.run_in_thread(end)
 
 
-def _hang_up(deployment, name):
-    deployment.note(f"{name} is told of new settings")
+def _send_sighup(deployment, name):
+    deployment.record_fault(f"{name} gets SIGHUP")
     deployment.process(name).send_signal(signal.SIGHUP)
 
 
@@ -128,9 +133,9 @@
         return None
     second = None
     if second_signal is not None:
-        after = deployment.draw.uniform(*SECOND_SIGNAL_SECONDS)
+        after = deployment.rng.uniform(*SECOND_SIGNAL_SECONDS)
         second = (second_signal, after)
-    return deployment.later(
+    return deployment.run_in_thread(
         _stop_and_restart, deployment, name, length, second
     )
 
@@ -141,24 +146,26 @@
 
 
 def _stop_and_wait(deployment, name, length, second=None):
-    """Send SIGTERM and note how the process ended."""
+    """Send SIGTERM and record how the process ended."""
     process = deployment.process(name)
     was_ready = deployment.case.is_ready(name)
-    deployment.note(f"{name} is asked to stop")
-    total = bounds.GRACE_SECONDS + length + 2 * bounds.CALM_SECONDS
-    deployment.ledger.trouble("term", name, total, is_planned=True)
+    deployment.record_fault(f"{name} gets SIGTERM")
+    total = bounds.GRACE_SECONDS + length + 2 * bounds.RECOVERY_SECONDS
+    deployment.history.record_disturbance("term", name, total, is_planned=True)
     at = time.monotonic()
     process.terminate()
     if second is not None:
         number, after = second
         time.sleep(after)
-        deployment.note(f"{name} gets {number.name} in its drain")
+        deployment.record_fault(f"{name} gets {number.name} while draining")
         process.send_signal(number)
     code = None
     try:
-        left = at + bounds.GRACE_SECONDS + KILL_SECONDS - time.monotonic()
+        left = (
+            at + bounds.GRACE_SECONDS + EXIT_SLACK_SECONDS - time.monotonic()
+        )
         code = process.wait(left)
     except subprocess.TimeoutExpired:
         deployment.case.dep.kill(name)
-    row = ledger_module.Stop(name, at, time.monotonic(), was_ready, code)
-    deployment.ledger.add(deployment.ledger.stops, row)
+    row = history_module.Stop(name, at, time.monotonic(), was_ready, code)
+    deployment.history.add(deployment.history.stops, row)
--- a/bench/soak/unplanned.py
+++ b/bench/soak/unplanned_faults.py
@@ -1,4 +1,4 @@
-"""Unplanned trouble: pauses, kills, crashes, connections and the store."""
+"""Faults: pauses, kills, crashes, disturbed connections and store."""
 
 import time
 
@@ -14,8 +14,10 @@
     name = deployment.reserve_gateway()
     if name is None:
         return None
-    deployment.note(f"{name} is paused for {length:.1f} s")
-    deployment.ledger.trouble("pause", name, length + bounds.CALM_SECONDS)
+    deployment.record_fault(f"{name} is paused for {length:.1f} s")
+    deployment.history.record_disturbance(
+        "pause", name, length + bounds.RECOVERY_SECONDS
+    )
     deployment.case.dep.pause(name)
 
     def resume():
@@ -23,7 +25,7 @@
         deployment.case.dep.resume(name)
         deployment.release(name)
 
-    return deployment.later(resume)
+    return deployment.run_in_thread(resume)
 
 
 def kill(deployment, length):
@@ -31,20 +33,22 @@
     name = deployment.reserve_gateway()
     if name is None:
         return None
-    deployment.note(f"{name} is killed for {length:.1f} s")
-    deployment.ledger.trouble("kill", name, length + 2 * bounds.CALM_SECONDS)
+    deployment.record_fault(f"{name} is killed for {length:.1f} s")
+    deployment.history.record_disturbance(
+        "kill", name, length + 2 * bounds.RECOVERY_SECONDS
+    )
     deployment.case.dep.kill(name)
-    return deployment.later(deployment.restart, name, length)
+    return deployment.run_in_thread(deployment.restart, name, length)
 
 
 def crash(deployment, length):
-    """Let an endpoint crash, and bring another one."""
+    """Crash an endpoint and replace it by a new one."""
     name = deployment.reserve_endpoint()
     if name is None:
         return None
     old = deployment.backend_by_name[name]
-    deployment.note(f"{name} crashes")
-    deployment.ledger.trouble("crash", name, float("inf"))
+    deployment.record_fault(f"{name} crashes")
+    deployment.history.record_disturbance("crash", name, float("inf"))
     old.end(crash=True)
 
     def replace():
@@ -52,25 +56,27 @@
         deployment.put(old.name, None)
         deployment.replace_endpoint(name, old)
 
-    return deployment.later(replace)
+    return deployment.run_in_thread(replace)
 
 
 def disturb_proxy(deployment, length):
-    """Let something go wrong with the connections through a proxy."""
-    name, served = deployment.draw.choice(deployment.proxies)
-    mode = deployment.draw.choice(PROXY_MODES)
+    """Disturb the connections through a proxy."""
+    name, served = deployment.rng.choice(deployment.proxies)
+    mode = deployment.rng.choice(PROXY_MODES)
     if not deployment.reserve(name):
         return None
-    deployment.note(f"{name} is {mode} for {length:.1f} s")
-    deployment.ledger.trouble(mode, served, length + bounds.CALM_SECONDS)
+    deployment.record_fault(f"{name} is in mode {mode} for {length:.1f} s")
+    deployment.history.record_disturbance(
+        mode, served, length + bounds.RECOVERY_SECONDS
+    )
     _set_proxy(deployment, name, mode)
 
-    def mend():
+    def restore():
         time.sleep(length)
         _set_proxy(deployment, name, "ok")
         deployment.release(name)
 
-    return deployment.later(mend)
+    return deployment.run_in_thread(restore)
 
 
 def _set_proxy(deployment, name, mode):
@@ -84,17 +90,19 @@
 
 
 def disturb_store(deployment, length):
-    """Let the store refuse or say nothing."""
+    """Let the store refuse requests or not answer them."""
     if not deployment.reserve("store"):
         return None
-    mode = deployment.draw.choice(("busy", "silent"))
-    deployment.note(f"the store is {mode} for {length:.1f} s")
-    deployment.ledger.trouble(mode, None, length + bounds.CALM_SECONDS)
+    mode = deployment.rng.choice(("busy", "silent"))
+    deployment.record_fault(f"the store is {mode} for {length:.1f} s")
+    deployment.history.record_disturbance(
+        mode, None, length + bounds.RECOVERY_SECONDS
+    )
     deployment.case.set_store_mode(mode)
 
-    def mend():
+    def restore():
         time.sleep(length)
         deployment.case.set_store_mode("ok")
         deployment.release("store")
 
-    return deployment.later(mend)
+    return deployment.run_in_thread(restore)
--- a/tests/soak/base.py
+++ b/tests/soak/base.py
@@ -1,19 +1,19 @@
-"""What the tests of the soak's checks share."""
+"""Helpers for the tests of the soak's checks."""
 
 import time
 import unittest
 
 from bench.soak import checks
-from bench.soak import ledger as ledger_module
+from bench.soak import history as history_module
 
 GATEWAY = "gateway-1"
 
 
-def sent(attempt, kind="unsafe", status=200, right=True, **more):
+def sent(attempt, kind="unsafe", status=200, is_correct=True, **more):
     """Return a request as a caller sent it."""
     now = time.monotonic()
-    row = ledger_module.Sent(
-        attempt, kind, GATEWAY, "/book/x", now, now, status, right
+    row = history_module.SentRequest(
+        attempt, kind, GATEWAY, "/book/x", now, now, status, is_correct
     )
     return row._replace(**more)
 
@@ -21,32 +21,34 @@
 def run(attempt, endpoint="app-1", at=None):
     """Return a run at an endpoint."""
     at = time.monotonic() if at is None else at
-    return ledger_module.Run(attempt, endpoint, "/book/x", at)
+    return history_module.Run(attempt, endpoint, "/book/x", at)
 
 
-class LedgerCase(unittest.TestCase):
-    """A ledger that a test fills."""
+class HistoryCase(unittest.TestCase):
+    """A history that a test fills."""
 
     def setUp(self):
-        """Begin with nothing seen."""
-        self.ledger = ledger_module.Ledger()
+        """Start with an empty history."""
+        self.history = history_module.History()
 
-    def see(self, *rows):
-        """Note rows of any kind."""
+    def record(self, *rows):
+        """Record rows of any kind."""
         rows_by_type = {
-            ledger_module.Sent: self.ledger.sent,
-            ledger_module.Run: self.ledger.runs,
-            ledger_module.RunEnd: self.ledger.run_ends,
-            ledger_module.Arrival: self.ledger.arrivals,
-            ledger_module.Readiness: self.ledger.readiness,
-            ledger_module.Stop: self.ledger.stops,
-            ledger_module.Trouble: self.ledger.troubles,
+            history_module.SentRequest: self.history.sent,
+            history_module.Run: self.history.runs,
+            history_module.RunEnd: self.history.run_ends,
+            history_module.Arrival: self.history.arrivals,
+            history_module.Readiness: self.history.readiness,
+            history_module.Stop: self.history.stops,
+            history_module.Disturbance: self.history.disturbances,
         }
         for row in rows:
-            if isinstance(row, (ledger_module.Sent, ledger_module.Run)):
-                self.ledger.begin(row.attempt)
-            self.ledger.add(rows_by_type[type(row)], row)
-
-    def broken(self):
-        """Return how many promises are broken."""
-        return len(checks.judge(self.ledger))
+            if isinstance(
+                row, (history_module.SentRequest, history_module.Run)
+            ):
+                self.history.record_attempt(row.attempt)
+            self.history.add(rows_by_type[type(row)], row)
+
+    def violations(self):
+        """Return how many guarantees are broken."""
+        return len(checks.find_violations(self.history))
--- a/tests/soak/test_lateness.py
+++ b/tests/soak/test_lateness.py
@@ -1,4 +1,4 @@
-"""The soak knows when its own threads were held up."""
+"""The soak detects that its own threads were delayed."""
 
 import itertools
 import time
@@ -7,16 +7,16 @@
 from bench.soak import lateness
 
 
-class Watching(unittest.TestCase):
-    """``Watch`` on a clock that jumps once."""
+class LatenessMonitorTest(unittest.TestCase):
+    """``LatenessMonitor`` on a clock that jumps once."""
 
-    def test_a_hold_up_is_noticed(self):
+    def test_a_delayed_wake_up_is_recorded(self):
         instants = itertools.chain(
             (0.0, 0.0, lateness.PERIOD_SECONDS), itertools.repeat(2.0)
         )
-        watch = lateness.Watch(lambda: next(instants))
-        watch.start()
+        monitor = lateness.LatenessMonitor(lambda: next(instants))
+        monitor.start()
         time.sleep(4 * lateness.PERIOD_SECONDS)
-        worst = watch.stop()
+        worst = monitor.stop()
         self.assertAlmostEqual(worst.seconds, 1.9)
         self.assertEqual(worst.at, 2.0)
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -13,17 +13,18 @@
     maxDiff = None
 
     def check(self, seed, *kinds, planned=False, seconds=SECONDS):
-        """Run a seed and demand that every promise was kept."""
+        """Run a seed and check that every guarantee was kept."""
         soak = faults.Soak(seed, seconds, only=kinds, planned=planned)
-        self.assertEqual(soak.go(), [])
-        self.assertGreater(len(soak.ledger.sent), 50)
+        self.assertEqual(soak.run(), [])
+        self.assertGreater(len(soak.history.sent), 50)
 
     def test_killed_and_paused_gateways(self):
         self.check(1, "kill", "signal", "publish")
 
     def test_endpoints_that_come_and_go(self):
-        # Equal calls were open at endpoints that crashed for reasons of
-        # their own (first seen with seed 12 and all kinds of fault).
+        # Guards against false blame of calls for crashes: equal calls are
+        # open at endpoints that crash for other reasons.  Seed 12 with all
+        # kinds of fault showed it first.
         self.check(12, "leave", "crash", "publish")
 
     def test_stops_and_cut_connections(self):
