--- a/clementinewall/lab/deployment.py
+++ b/clementinewall/lab/deployment.py
@@ -7,7 +7,7 @@
 from clementinewall import _schema
 from clementinewall import errors
 
-_Part = typing.Annotated[float, _schema.Range(0.0, 1.0)]
+_Fraction = typing.Annotated[float, _schema.Range(0.0, 1.0)]
 _Positive = typing.Annotated[float, _schema.Range(1e-9, 1e9)]
 _Count = typing.Annotated[int, _schema.Range(1, 10**9)]
 
@@ -68,7 +68,7 @@
     kv_tokens: _Count
     kv_token_bytes: _Count = 18_432
     link_mbps: _Positive = 370_000.0
-    reading_part: _Part = 0.5
+    reading_part: _Fraction = 0.5
     tokens_a_ms: _Positive = 157.0
     pairs_ms_a_million: _Positive = 0.109
     piece_tokens: _Count = 2_048
@@ -85,7 +85,7 @@
 
     count: _Count
     one_way_ms: _Positive = 1.4
-    lost_part: _Part = 0.001
+    lost_part: _Fraction = 0.001
 
 
 class Deployment(typing.NamedTuple):
@@ -113,14 +113,14 @@
         raise errors.SettingsError(f"{path}: {exc.strerror}") from exc
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as exc:
         raise errors.SettingsError(f"{path}: {exc}") from exc
-    found, mistakes = _schema.build(Deployment, data)
+    deployment, mistakes = _schema.build(Deployment, data)
     mistakes = [str(mistake) for mistake in mistakes]
-    if found is not None:
+    if deployment is not None:
         mistakes = [
             f"bursts: {burst.work_class!r} is no class"
-            for burst in found.bursts
-            if burst.work_class not in found.classes
+            for burst in deployment.bursts
+            if burst.work_class not in deployment.classes
         ]
     if mistakes:
         raise errors.SettingsError(f"{path}: " + "; ".join(mistakes))
-    return found
+    return deployment
--- a/clementinewall/lab/engine.py
+++ b/clementinewall/lab/engine.py
@@ -15,75 +15,80 @@
 import heapq
 import itertools
 
-from clementinewall.lab import figures
+from clementinewall.lab import engine_timing
 
 # Before a move or fetch of memory begins, as operators say.
-SETUP_MS = 5.0
+TRANSFER_SETUP_MS = 5.0
 # From the end of reading to the answer of a read-only call.
-ANSWER_MS = 3.0
+PREFILL_ANSWER_MS = 3.0
 
 
 class Engine:
     """One engine; ``loop`` calls back at virtual times."""
 
-    def __init__(self, name, row, reads, loop):
+    def __init__(self, name, row, is_prefill, loop):
         """Begin idle; ``row`` is :class:`deployment.Engines`."""
         self.name = name
-        self.reads = reads
-        self.read_ms = 0.0
-        self.read_tokens = 0
+        self.is_prefill = is_prefill
+        self.total_prefill_ms = 0.0
+        self.prefilled_tokens = 0
         self._row = row
         self._loop = loop
         self._serial = itertools.count()
         self._cache = collections.OrderedDict()
         self._cached_tokens = 0
-        self._in_use = 0
-        self._reading = None
-        self._to_read = []
+        self._stream_tokens = 0
+        self._current_prompt = None
+        self._prefill_queue = []
         self._link_free_at = 0.0
         self._waiting = []
         self._running = []
-        self._progress = 0.0
-        self._moved_at = 0.0
-        self._version = 0
+        self._steps_done = 0.0
+        self._advanced_at = 0.0
+        self._plan_version = 0
 
     # Reading.
 
-    def read(self, prompt, urgency, done):
+    def prefill(self, prompt, urgency, done):
         """Read a prompt; call ``done()`` when it is read."""
         item = (urgency, next(self._serial), prompt, done)
-        heapq.heappush(self._to_read, item)
-        self._read_next()
+        heapq.heappush(self._prefill_queue, item)
+        self._start_next_prefill()
 
-    def _read_next(self):
-        if self._reading is not None or not self._to_read:
+    def _start_next_prefill(self):
+        if self._current_prompt is not None or not self._prefill_queue:
             return
-        _, _, prompt, done = heapq.heappop(self._to_read)
-        self._reading = prompt
-        cached = self.cached(prompt)
+        _, _, prompt, done = heapq.heappop(self._prefill_queue)
+        self._current_prompt = prompt
+        cached_prefix_tokens = self.cached_prefix_tokens(prompt)
         self._advance()
-        took = self._reading_ms(prompt, cached)
-        self.read_ms += took
-        self.read_tokens += prompt.tokens_in - cached
-        self._replan()
-        self._loop.after(took, self._was_read, prompt, done)
-
-    def _reading_ms(self, prompt, cached):
-        if self.reads:
-            return figures.prompt_ms(self._row, prompt.tokens_in, cached)
-        return figures.prompt_ms_beside(
-            self._row, prompt.tokens_in, cached, len(self._running)
+        duration_ms = self._prefill_ms(prompt, cached_prefix_tokens)
+        self.total_prefill_ms += duration_ms
+        self.prefilled_tokens += prompt.tokens_in - cached_prefix_tokens
+        self._schedule_next_end()
+        self._loop.after(duration_ms, self._finish_prefill, prompt, done)
+
+    def _prefill_ms(self, prompt, cached_prefix_tokens):
+        if self.is_prefill:
+            return engine_timing.prefill_ms(
+                self._row, prompt.tokens_in, cached_prefix_tokens
+            )
+        return engine_timing.decode_engine_prefill_ms(
+            self._row,
+            prompt.tokens_in,
+            cached_prefix_tokens,
+            len(self._running),
         )
 
-    def _was_read(self, prompt, done):
+    def _finish_prefill(self, prompt, done):
         self._advance()
-        self._reading = None
-        self.keep(prompt)
-        self._replan()
+        self._current_prompt = None
+        self.cache_prompt(prompt)
+        self._schedule_next_end()
         done()
-        self._read_next()
+        self._start_next_prefill()
 
-    def cached(self, prompt):
+    def cached_prefix_tokens(self, prompt):
         """Return how many leading tokens of the prompt are kept."""
         total = 0
         for part in prompt.parts:
@@ -92,11 +97,11 @@
             total += part.tokens
         return total
 
-    def keeps(self, part_id):
+    def has_cached(self, part_id):
         """Tell whether a part is kept."""
         return part_id in self._cache
 
-    def keep(self, prompt):
+    def cache_prompt(self, prompt):
         """Keep the parts of a prompt; the least recently used go."""
         for part in prompt.parts:
             if part.id in self._cache:
@@ -104,77 +109,79 @@
                 continue
             self._cache[part.id] = part.tokens
             self._cached_tokens += part.tokens
-        room = self._row.kv_tokens - self._in_use
-        while self._cached_tokens > room and self._cache:
+        headroom = self._row.kv_tokens - self._stream_tokens
+        while self._cached_tokens > headroom and self._cache:
             _, tokens = self._cache.popitem(last=False)
             self._cached_tokens -= tokens
 
-    def keep_as(self, source, prompt):
+    def copy_prefix(self, source, prompt):
         """Keep what another engine keeps of a prompt's beginning."""
         count = 0
         for part in prompt.parts:
-            if not source.keeps(part.id):
+            if not source.has_cached(part.id):
                 break
             count += 1
-        self.keep(prompt._replace(parts=prompt.parts[:count]))
+        self.cache_prompt(prompt._replace(parts=prompt.parts[:count]))
 
     # Memory that moves.
 
     def fetch(self, tokens, done):
         """Take ``tokens`` of memory from elsewhere, one move at a time."""
-        took = SETUP_MS + figures.transfer_ms(self._row, tokens)
+        duration_ms = TRANSFER_SETUP_MS + engine_timing.transfer_ms(
+            self._row, tokens
+        )
         start = max(self._loop.now, self._link_free_at)
-        self._link_free_at = start + took
-        self._loop.after(start + took - self._loop.now, done)
+        self._link_free_at = start + duration_ms
+        self._loop.after(start + duration_ms - self._loop.now, done)
 
     # Streams.
 
-    def run(self, prompt, urgency, on_first, on_end):
+    def decode(self, prompt, urgency, on_first, on_end):
         """Run a stream whose prompt has been read or fetched."""
         item = (urgency, next(self._serial), prompt, on_first, on_end)
         heapq.heappush(self._waiting, item)
-        self._begin_streams()
+        self._start_streams()
 
-    def _begin_streams(self):
+    def _start_streams(self):
         self._advance()
         while self._waiting and len(self._running) < self._row.slots:
             _, serial, prompt, on_first, on_end = heapq.heappop(self._waiting)
-            end = self._progress + prompt.tokens_out
+            end = self._steps_done + prompt.tokens_out
             heapq.heappush(self._running, (end, serial, prompt, on_end))
-            self._in_use += prompt.tokens_in + prompt.tokens_out
+            self._stream_tokens += prompt.tokens_in + prompt.tokens_out
             self._loop.after(self._row.first_event_ms, on_first)
-        self._replan()
+        self._schedule_next_end()
 
     def _step_ms(self):
-        step = figures.step_ms(self._row, len(self._running))
-        if self._reading is None or self.reads:
-            return step
-        piece = self._row.decode_piece_tokens / self._row.tokens_a_ms
-        return step + piece * self._row.decode_slowdown
+        step_ms = engine_timing.step_ms(self._row, len(self._running))
+        if self._current_prompt is None or self.is_prefill:
+            return step_ms
+        chunk_ms = self._row.decode_piece_tokens / self._row.tokens_a_ms
+        return step_ms + chunk_ms * self._row.decode_slowdown
 
     def _advance(self):
         """Move all streams to the present."""
         now = self._loop.now
         if self._running:
-            self._progress += (now - self._moved_at) / self._step_ms()
-        self._moved_at = now
+            self._steps_done += (now - self._advanced_at) / self._step_ms()
+        self._advanced_at = now
 
-    def _replan(self):
+    def _schedule_next_end(self):
         """Plan the end of the stream that ends next."""
-        self._version += 1
+        self._plan_version += 1
         if not self._running:
             return
-        left = max(0.0, self._running[0][0] - self._progress)
+        left = max(0.0, self._running[0][0] - self._steps_done)
         self._loop.after(
-            left * self._step_ms(), self._end_streams, self._version
+            left * self._step_ms(), self._end_streams, self._plan_version
         )
 
-    def _end_streams(self, version):
-        if version != self._version:
+    def _end_streams(self, plan_version):
+        if plan_version != self._plan_version:
             return
         self._advance()
-        while self._running and self._running[0][0] <= self._progress + 1e-6:
+        while self._running and self._running[0][0] <= self._steps_done + 1e-6:
             _, _, prompt, on_end = heapq.heappop(self._running)
-            self._in_use -= prompt.tokens_in + prompt.tokens_out
+            self._stream_tokens -= prompt.tokens_in + prompt.tokens_out
             on_end()
-        self._begin_streams()
+        self._start_streams()
--- a/clementinewall/lab/figures.py
+++ b/clementinewall/lab/engine_timing.py
@@ -8,24 +8,24 @@
 
 # Memory takes so many times as long to another data centre; engines of the
 # lab are taken to lie in different ones.
-FAR_TRANSFER = 2.0
+REMOTE_TRANSFER_FACTOR = 2.0
 
 
-def prompt_ms(row, tokens, cached):
+def prefill_ms(row, tokens, cached):
     """Return how long an idle reading engine takes for a prompt."""
     pieces = max(0, tokens - cached) / row.piece_tokens
     return (
         row.prompt_base_ms
-        + _reading_ms(row, tokens, cached)
+        + _compute_ms(row, tokens, cached)
         + pieces * row.step_ms
     )
 
 
-def prompt_ms_beside(row, tokens, cached, streams):
+def decode_engine_prefill_ms(row, tokens, cached, streams):
     """Return how long an engine that decodes ``streams`` takes to read."""
     pieces = max(0, tokens - cached) / row.decode_piece_tokens
-    reading = _reading_ms(row, tokens, cached) * row.decode_slowdown
-    return row.prompt_base_ms + reading + pieces * step_ms(row, streams)
+    compute_ms = _compute_ms(row, tokens, cached) * row.decode_slowdown
+    return row.prompt_base_ms + compute_ms + pieces * step_ms(row, streams)
 
 
 def step_ms(row, streams):
@@ -36,7 +36,7 @@
 def transfer_ms(row, tokens):
     """Return how long the memory of a prompt takes to another engine."""
     return (
-        FAR_TRANSFER
+        REMOTE_TRANSFER_FACTOR
         * tokens
         * row.kv_token_bytes
         * 8
@@ -44,7 +44,7 @@
     )
 
 
-def _reading_ms(row, tokens, cached):
-    new = max(0, tokens - cached)
-    pairs = new * (cached + new / 2) / 1e6
-    return new / row.tokens_a_ms + pairs * row.pairs_ms_a_million
+def _compute_ms(row, tokens, cached):
+    new_tokens = max(0, tokens - cached)
+    pairs = new_tokens * (cached + new_tokens / 2) / 1e6
+    return new_tokens / row.tokens_a_ms + pairs * row.pairs_ms_a_million
--- a/clementinewall/lab/gateway.py
+++ b/clementinewall/lab/gateway.py
@@ -16,38 +16,38 @@
 from clementinewall.gateway import placing
 
 # What a gateway itself takes for a step: a wake-up, parsing and deciding.
-STEP_MS = 1.5
+PROCESSING_MS = 1.5
 
 
 class Gateway:
     """What one gateway knows, and how it tells its peers."""
 
-    def __init__(self, ip, configuration, endpoint_by_id, network, loop):
+    def __init__(self, ip, configuration, endpoint_by_id, deliver, loop):
         """Know all engines and, after the first messages, the peers.
 
         ``network(ip, tell)`` calls ``tell`` with that peer later, or never.
         """
         self.ip = ip
         self._loop = loop
-        self._network = network
-        known = fleet_view.FleetView(loop.read)
-        known.configuration = configuration
-        known.endpoint_by_id = endpoint_by_id
-        self.endpoints = endpoints.Endpoints(known, loop.read)
-        self.table = peer_table.PeerTable(ip, loop.read)
+        self._deliver = deliver
+        view = fleet_view.FleetView(loop.time_ms)
+        view.configuration = configuration
+        view.endpoint_by_id = endpoint_by_id
+        self.endpoints = endpoints.Endpoints(view, loop.time_ms)
+        self.table = peer_table.PeerTable(ip, loop.time_ms)
         self._cell_membership = cell_membership.CellMembership(
-            _settings(ip), known
+            _settings(ip), view
         )
         self.placer = placing.Placer(
             _settings(ip),
             self.endpoints,
             self,
             self._cell_membership,
-            loop.read,
+            loop.time_ms,
         )
-        self._last_work = {}
+        self._last_sent_work = {}
         self._sent_at = -peers.HEARTBEAT_INTERVAL_MS
-        self._is_planned = False
+        self._is_send_scheduled = False
 
     def start(self, ips):
         """Learn who the others are and begin to tell them.
@@ -57,19 +57,21 @@
         for ip in ips:
             self.table.register(ip)
         self._cell_membership.update([ip for ip in ips if ip != self.ip])
-        self._plan(peers.MAX_CHANGE_DELAY_MS)
-        self._tell_far(ips)
+        self._schedule_check(peers.MAX_CHANGE_DELAY_MS)
+        self._send_to_other_cells(ips)
 
-    def _tell_far(self, ips):
+    def _send_to_other_cells(self, ips):
         """Tell those outside of the cell, all at once, what engines keep."""
         period = peers.REMOTE_INTERVAL_MS * peers.REMOTE_ROUNDS
         rows = self.endpoints.cache_holders.message(period)
         for ip in ips:
             if ip != self.ip and not self._cell_membership.is_cell_gateway(ip):
-                self._network(ip, lambda peer: peer.hear_far(rows))
-        self._loop.after(period, self._tell_far, ips)
+                self._deliver(
+                    ip, lambda peer: peer.receive_from_other_cell(rows)
+                )
+        self._loop.after(period, self._send_to_other_cells, ips)
 
-    def close_ips(self):
+    def cell_ips(self):
         """Return the peers that share this gateway's engines."""
         return [
             ip
@@ -77,50 +79,56 @@
             if self._cell_membership.is_cell_gateway(ip)
         ]
 
-    def tell(self):
+    def notify(self):
         """Let the others know of a new prompt as soon as that is due."""
-        if not self._is_planned:
-            gap = peers.SEND_GAP_MS_PER_PEER * max(1, len(self.close_ips()))
-            self._is_planned = True
+        if not self._is_send_scheduled:
+            gap = peers.SEND_GAP_MS_PER_PEER * max(1, len(self.cell_ips()))
+            self._is_send_scheduled = True
             self._loop.after(
-                self._sent_at + gap - self._loop.now, self._send_new
+                self._sent_at + gap - self._loop.now, self._send_scheduled
             )
 
-    def _plan(self, ms):
-        self._loop.after(ms, self._send_changes)
+    def _schedule_check(self, ms):
+        self._loop.after(ms, self._send_if_changed)
 
-    def _send_new(self):
-        self._is_planned = False
+    def _send_scheduled(self):
+        self._is_send_scheduled = False
         self._send(self.endpoints.work_by_endpoint_id())
 
-    def _send_changes(self):
+    def _send_if_changed(self):
         work = self.endpoints.work_by_endpoint_id()
-        old = self._loop.now - self._sent_at >= peers.HEARTBEAT_INTERVAL_MS
-        if work != self._last_work or old:
+        is_heartbeat_due = (
+            self._loop.now - self._sent_at >= peers.HEARTBEAT_INTERVAL_MS
+        )
+        if work != self._last_sent_work or is_heartbeat_due:
             self._send(work)
-        self._plan(peers.MAX_CHANGE_DELAY_MS)
+        self._schedule_check(peers.MAX_CHANGE_DELAY_MS)
 
     def _send(self, work):
-        self._last_work = work
+        self._last_sent_work = work
         self._sent_at = self._loop.now
-        sign = peer_messages.Heartbeat(self.ip, "", "", True, self._loop.now)
+        heartbeat = peer_messages.Heartbeat(
+            self.ip, "", "", True, self._loop.now
+        )
         state = peer_messages.GatewayState(
-            sign,
+            heartbeat,
             work,
             {},
             estimate_by_service=self.endpoints.scales.estimate_by_service(),
         )
-        read = self.endpoints.drain_prefills()
-        for ip in self.close_ips():
-            self._network(ip, lambda peer: peer.hear(self.ip, state, read))
+        prefilled = self.endpoints.drain_prefills()
+        for ip in self.cell_ips():
+            self._deliver(
+                ip, lambda peer: peer.receive(self.ip, state, prefilled)
+            )
 
-    def hear(self, ip, state, read):
+    def receive(self, ip, state, prefilled):
         """Take in what a peer of the cell told."""
-        for endpoint_id, parts in read:
+        for endpoint_id, parts in prefilled:
             self.endpoints.apply_peer_prefill(endpoint_id, parts)
         self.table.record_state(ip, state)
 
-    def hear_far(self, rows):
+    def receive_from_other_cell(self, rows):
         """Take in which engines keep what, from a gateway of another cell."""
         self.endpoints.cache_holders.merge(rows)
 
--- a/clementinewall/lab/load.py
+++ b/clementinewall/lab/load.py
@@ -22,24 +22,24 @@
     serial = itertools.count()
     arrivals = []
     for name, row in deployment.classes.items():
-        prompts = _Prompts(name, row, rng, serial)
-        for at_s in _times(deployment, name, row, seconds, rng):
+        prompts = _PromptSource(name, row, rng, serial)
+        for at_s in _arrival_times(deployment, name, row, seconds, rng):
             prompt = prompts.draw()
             arrivals.append(Arrival(at_s * 1_000, name, prompt))
     return sorted(arrivals, key=lambda arrival: arrival.at_ms)
 
 
-def _times(deployment, name, row, seconds, rng):
+def _arrival_times(deployment, name, row, seconds, rng):
     """Yield the times of a class: a Poisson process of clumps, thinned."""
     bursts = [b for b in deployment.bursts if b.work_class == name]
-    highest = math.prod([1.0, *(max(1.0, b.factor) for b in bursts)])
-    clumps_a_s = row.per_s * highest / deployment.clump
-    at = rng.expovariate(clumps_a_s)
+    max_factor = math.prod([1.0, *(max(1.0, b.factor) for b in bursts)])
+    clumps_per_s = row.per_s * max_factor / deployment.clump
+    at = rng.expovariate(clumps_per_s)
     while at < seconds:
-        if rng.random() < _factor(bursts, at) / highest:
-            for _ in range(_clump(deployment.clump, rng)):
+        if rng.random() < _factor(bursts, at) / max_factor:
+            for _ in range(_clump_size(deployment.clump, rng)):
                 yield at
-        at += rng.expovariate(clumps_a_s)
+        at += rng.expovariate(clumps_per_s)
 
 
 def _factor(bursts, at):
@@ -47,7 +47,7 @@
     return math.prod(now)
 
 
-def _clump(mean, rng):
+def _clump_size(mean, rng):
     """Return the size of a clump, geometric with the ``mean``."""
     size = 1
     while rng.random() > 1 / mean:
@@ -55,7 +55,7 @@
     return size
 
 
-class _Prompts:
+class _PromptSource:
     """Draws the prompts of one class."""
 
     def __init__(self, name, row, rng, serial):
@@ -63,7 +63,7 @@
         self._row = row
         self._rng = rng
         self._serial = serial
-        self._sizes = {}
+        self._size_by_part_id = {}
         self._weights = [
             list(
                 itertools.accumulate(
@@ -89,18 +89,18 @@
 
     def _shared(self, depth, part):
         weights = self._weights[depth]
-        thing = self._rng.choices(range(part.things), cum_weights=weights)[0]
-        name = f"{self._name}-{depth}-{thing}"
-        if name not in self._sizes:
-            self._sizes[name] = _size(
+        number = self._rng.choices(range(part.things), cum_weights=weights)[0]
+        name = f"{self._name}-{depth}-{number}"
+        if name not in self._size_by_part_id:
+            self._size_by_part_id[name] = _size(
                 part.tokens, part.spread, part.most, self._rng
             )
-        return domain.PromptPart(name, self._sizes[name])
+        return domain.PromptPart(name, self._size_by_part_id[name])
 
 
 def _size(mean, spread, most, rng):
     """Return a log-normal size with about the ``mean``."""
     if not spread:
         return max(1, round(mean))
-    middle = math.log(mean) - spread * spread / 2
-    return max(1, round(min(most, rng.lognormvariate(middle, spread))))
+    log_median = math.log(mean) - spread * spread / 2
+    return max(1, round(min(most, rng.lognormvariate(log_median, spread))))
--- a/clementinewall/lab/loop.py
+++ b/clementinewall/lab/loop.py
@@ -13,7 +13,7 @@
         self._serial = itertools.count()
         self._calls = []
 
-    def read(self):
+    def time_ms(self):
         """Return the time, as the gateway's parts ask for it."""
         return self.now
 
--- a/clementinewall/lab/main.py
+++ b/clementinewall/lab/main.py
@@ -34,7 +34,7 @@
 from clementinewall.lab import report
 from clementinewall.lab import simulation
 
-LOGS = "clementinewall.logs"
+LOGGED_PACKAGE = "clementinewall.logs"
 DEFAULT_POLICIES = ("gateway", "random", "random-split")
 
 
@@ -55,26 +55,28 @@
     """
     arrivals = load.draw(job.deployment, job.seconds, job.seed)
     random.seed(job.seed)
-    loguru.logger.disable(LOGS)
+    loguru.logger.disable(LOGGED_PACKAGE)
     try:
         simulated = simulation.Simulation(job.deployment, job.policy, job.seed)
         run = simulated.run(arrivals)
     finally:
-        loguru.logger.enable(LOGS)
+        loguru.logger.enable(LOGGED_PACKAGE)
     return report.summarize(job.deployment, arrivals, run, job.seconds)
 
 
-def experiment(jobs, processes):
+def play_all(jobs, processes):
     """Play all runs; return the mean of each policy's by its text."""
     with multiprocessing.Pool(processes) as pool:
         found = pool.map(play, jobs, chunksize=1)
-    by_policy = {}
+    summaries_by_policy = {}
     for job, summary in zip(jobs, found, strict=True):
-        by_policy.setdefault(job.policy.text, []).append(summary)
-    return {name: report.mean(rows) for name, rows in by_policy.items()}
+        summaries_by_policy.setdefault(job.policy.text, []).append(summary)
+    return {
+        name: report.mean(rows) for name, rows in summaries_by_policy.items()
+    }
 
 
-def jobs_of(options):
+def parse_jobs(options):
     """Return the runs that a command line asks for.
 
     :raises SettingsError: something in it is wrong.
@@ -122,9 +124,9 @@
     """Read the command line, play and print."""
     options = docopt.docopt(__doc__)
     try:
-        jobs = jobs_of(options)
+        jobs = parse_jobs(options)
         processes = max(1, int(_number(options, "--jobs")))
-        found = experiment(jobs, processes)
+        found = play_all(jobs, processes)
         if options["--plot"]:
             report.plot(found, options["--plot"])
     except errors.SettingsError as exc:
--- a/clementinewall/lab/policies.py
+++ b/clementinewall/lab/policies.py
@@ -21,7 +21,7 @@
 
     text: str
     name: str
-    values: tuple[tuple[str, str, float], ...]
+    overrides: tuple[tuple[str, str, float], ...]
 
 
 def parse(text):
@@ -33,81 +33,90 @@
     if name not in PLACERS:
         known = ", ".join(sorted(PLACERS))
         raise errors.SettingsError(f"no policy {name!r}; known: {known}")
-    values = tuple(_value(row) for row in rest.split(",") if row)
-    return Policy(text, name, values)
+    overrides = tuple(_parse_override(row) for row in rest.split(",") if row)
+    return Policy(text, name, overrides)
 
 
-def _value(row):
+def _parse_override(row):
     where, _, number = row.partition("=")
     module, _, constant = where.partition(".")
     try:
         found = importlib.import_module(f"clementinewall.policy.{module}")
-        present = getattr(found, constant)
+        default = getattr(found, constant)
     except (ImportError, AttributeError, ValueError) as exc:
         raise errors.SettingsError(f"no constant {where!r}: {exc}") from exc
-    if isinstance(present, bool) or not isinstance(present, (int, float)):
+    if isinstance(default, bool) or not isinstance(default, (int, float)):
         raise errors.SettingsError(f"{where} is no number")
     try:
-        return module, constant, type(present)(number)
+        return module, constant, type(default)(number)
     except ValueError as exc:
         raise errors.SettingsError(f"{row!r}: {exc}") from exc
 
 
 @contextlib.contextmanager
-def in_force(policy):
+def overridden_constants(policy):
     """Run with the constants that the policy names."""
-    before = []
+    previous = []
     try:
-        for module, constant, value in policy.values:
+        for module, constant, value in policy.overrides:
             found = importlib.import_module(f"clementinewall.policy.{module}")
-            before.append((found, constant, getattr(found, constant)))
+            previous.append((found, constant, getattr(found, constant)))
             setattr(found, constant, value)
         yield
     finally:
-        for found, constant, value in reversed(before):
+        for found, constant, value in reversed(previous):
             setattr(found, constant, value)
 
 
-def _as_gateways(gateway, _rng):
+def _gateway_placer(gateway, _rng):
     return gateway.placer.place
 
 
-def _random(gateway, rng):
+def _random_placer(gateway, rng):
     """Place on a random decoding engine; refuse nothing."""
 
     def place(exchange, _last):
         states = gateway.endpoints.of_service(exchange.service.name)
-        return _plan(None, rng.choice(_with(states, domain.DECODE)))
+        return _plan(None, rng.choice(_of_stage(states, domain.DECODE)))
 
     return place
 
 
-def _random_split(gateway, rng):
+def _random_split_placer(gateway, rng):
     """Read and decode on random engines of each stage; refuse nothing."""
 
     def place(exchange, _last):
         states = gateway.endpoints.of_service(exchange.service.name)
-        reader = rng.choice(_with(states, domain.PREFILL))
-        return _plan(reader, rng.choice(_with(states, domain.DECODE)))
+        prefill_engine = rng.choice(_of_stage(states, domain.PREFILL))
+        return _plan(
+            prefill_engine, rng.choice(_of_stage(states, domain.DECODE))
+        )
 
     return place
 
 
-def _with(states, stage):
+def _of_stage(states, stage):
     return [state for state in states if state.endpoint.stage == stage]
 
 
-def _plan(reader, decoder):
-    way = placement.Option(
-        reader and reader.endpoint.id, decoder.endpoint.id, 0.0, 0.0, 0.0, 0
+def _plan(prefill_engine, decode_engine):
+    option = placement.Option(
+        prefill_engine and prefill_engine.endpoint.id,
+        decode_engine.endpoint.id,
+        0.0,
+        0.0,
+        0.0,
+        0,
+    )
+    return placing.Plan(
+        prefill_engine, decode_engine, option, placement.URGENCY_NORMAL
     )
-    return placing.Plan(reader, decoder, way, placement.URGENCY_NORMAL)
 
 
 PLACERS = {
-    "gateway": _as_gateways,
-    "random": _random,
-    "random-split": _random_split,
+    "gateway": _gateway_placer,
+    "random": _random_placer,
+    "random-split": _random_split_placer,
 }
 
 
--- a/clementinewall/lab/report.py
+++ b/clementinewall/lab/report.py
@@ -4,15 +4,15 @@
 import json
 import typing
 
-from clementinewall.lab import figures
+from clementinewall.lab import engine_timing
 
 
 # A request's worth grows with its size against the mean of its class.
-SIZE_BASE = 0.3
-SIZE_PART = 0.7
-SIZE_MOST = 4.0
+BASE_SIZE_FACTOR = 0.3
+SIZE_FACTOR_PER_MEAN = 0.7
+MAX_SIZE_FACTOR = 4.0
 # The largest part of each class is judged by itself, too.
-LARGEST_PART = 0.1
+LARGEST_FRACTION = 0.1
 WINDOW_MS = 2_000.0
 
 
@@ -47,13 +47,13 @@
 
 def summarize(deployment, arrivals, run, seconds):
     """Return the :class:`Summary` of a run."""
-    worth = _Worth(deployment, arrivals)
-    earned = collections.Counter()
-    owed = collections.Counter()
+    worth = _CreditRules(deployment, arrivals)
+    earned_credit = collections.Counter()
+    full_credit = collections.Counter()
     for outcome in run.outcomes:
         window = int(outcome.at_ms // WINDOW_MS)
-        owed[window] += worth.owed(outcome)
-        earned[window] += worth.earned(outcome)
+        full_credit[window] += worth.full_credit(outcome)
+        earned_credit[window] += worth.earned_credit(outcome)
     by_class = {
         name: _class_row(
             [o for o in run.outcomes if o.work_class == name], row, worth
@@ -61,17 +61,21 @@
         for name, row in deployment.classes.items()
     }
     return Summary(
-        credit=_share(sum(earned.values()), sum(owed.values())),
-        worst=min((_share(earned[w], owed[w]) for w in owed), default=0.0),
+        credit=_ratio(sum(earned_credit.values()), sum(full_credit.values())),
+        worst=min(
+            (_ratio(earned_credit[w], full_credit[w]) for w in full_credit),
+            default=0.0,
+        ),
         bound=bound(deployment, arrivals, worth),
         by_class=by_class,
-        read_again=_share(run.kept_elsewhere, run.read_tokens),
-        busy=run.read_ms / (seconds * 1_000 * deployment.engines.count),
-        error=_errors(run.outcomes),
+        read_again=_ratio(run.cached_elsewhere_tokens, run.prefilled_tokens),
+        busy=run.total_prefill_ms
+        / (seconds * 1_000 * deployment.engines.count),
+        error=_prediction_errors(run.outcomes),
     )
 
 
-class _Worth:
+class _CreditRules:
     """What requests are worth, by class and size."""
 
     def __init__(self, deployment, arrivals):
@@ -83,26 +87,31 @@
             name: sum(values) / len(values) for name, values in sizes.items()
         }
 
-    def owed(self, request):
+    def full_credit(self, request):
         """Return the credit of a request that is served in time."""
-        return self._scale(request) * self._classes[request.work_class].worth
+        return (
+            self._size_factor(request)
+            * self._classes[request.work_class].worth
+        )
 
-    def late(self, request):
+    def late_credit(self, request):
         """Return the credit of a request that is served late."""
         row = self._classes[request.work_class]
-        return self._scale(request) * row.late_worth
+        return self._size_factor(request) * row.late_worth
 
-    def earned(self, outcome):
+    def earned_credit(self, outcome):
         """Return the credit that a request earned."""
         if outcome.first_ms is None:
             return 0.0
         if is_in_time(outcome, self._classes[outcome.work_class]):
-            return self.owed(outcome)
-        return self.late(outcome)
+            return self.full_credit(outcome)
+        return self.late_credit(outcome)
 
-    def _scale(self, request):
+    def _size_factor(self, request):
         size = request.tokens / self._mean[request.work_class]
-        return min(SIZE_MOST, SIZE_BASE + SIZE_PART * size)
+        return min(
+            MAX_SIZE_FACTOR, BASE_SIZE_FACTOR + SIZE_FACTOR_PER_MEAN * size
+        )
 
 
 def is_in_time(outcome, row):
@@ -115,27 +124,27 @@
     in_time = sum(is_in_time(o, row) for o in outcomes)
     served = sum(o.first_ms is not None for o in outcomes)
     by_size = sorted(outcomes, key=lambda o: o.tokens)
-    largest = by_size[round(asked * (1 - LARGEST_PART)) :]
+    largest = by_size[round(asked * (1 - LARGEST_FRACTION)) :]
     return ClassRow(
         asked=asked,
-        in_time=_share(in_time, asked),
-        late=_share(served - in_time, asked),
-        unserved=_share(asked - served, asked),
+        in_time=_ratio(in_time, asked),
+        late=_ratio(served - in_time, asked),
+        unserved=_ratio(asked - served, asked),
         credit=_credit(outcomes, worth),
         largest=_credit(largest, worth),
     )
 
 
 def _credit(outcomes, worth):
-    earned = sum(worth.earned(o) for o in outcomes)
-    return _share(earned, sum(worth.owed(o) for o in outcomes))
+    earned_credit = sum(worth.earned_credit(o) for o in outcomes)
+    return _ratio(earned_credit, sum(worth.full_credit(o) for o in outcomes))
 
 
-def _share(part, whole):
+def _ratio(part, whole):
     return part / whole if whole else 0.0
 
 
-def _errors(outcomes):
+def _prediction_errors(outcomes):
     found = sorted(
         abs(o.first_ms - o.predicted_ms)
         for o in outcomes
@@ -146,7 +155,7 @@
     return found[len(found) // 2], found[int(len(found) * 0.9)]
 
 
-class _Need(typing.NamedTuple):
+class _MinimumWork(typing.NamedTuple):
     """A request's engine time at the least, and what it is worth."""
 
     work_class: str
@@ -163,42 +172,50 @@
     batch.  Whoever is worth most for its engine time comes first, and all
     others are served late at no cost.
     """
-    worth = worth or _Worth(deployment, arrivals)
-    needs_by_window = collections.defaultdict(list)
+    worth = worth or _CreditRules(deployment, arrivals)
+    works_by_window = collections.defaultdict(list)
     for arrival in arrivals:
         window = int(arrival.at_ms // WINDOW_MS)
-        needs_by_window[window].append(_need(deployment, arrival))
+        works_by_window[window].append(_minimum_work(deployment, arrival))
     slack = max(row.goal_ms for row in deployment.classes.values())
-    room = deployment.engines.count * (WINDOW_MS + slack)
-    earned = owed = 0.0
-    for needs in needs_by_window.values():
-        owed += sum(worth.owed(need) for need in needs)
-        earned += _fill(needs, room, worth)
-    return _share(earned, owed)
+    available_ms = deployment.engines.count * (WINDOW_MS + slack)
+    earned_credit = full_credit = 0.0
+    for works in works_by_window.values():
+        full_credit += sum(worth.full_credit(work) for work in works)
+        earned_credit += _max_credit(works, available_ms, worth)
+    return _ratio(earned_credit, full_credit)
 
 
-def _need(deployment, arrival):
+def _minimum_work(deployment, arrival):
     prompt = arrival.prompt
     slots = deployment.engines.slots
-    own = prompt.parts[-1].tokens
+    unshared_tokens = prompt.parts[-1].tokens
     row = deployment.engines
-    reading = figures.prompt_ms(row, prompt.tokens_in, prompt.tokens_in - own)
-    decoding = prompt.tokens_out * figures.step_ms(row, slots) / slots
-    return _Need(arrival.work_class, prompt.tokens_in, reading + decoding)
+    prefill_ms = engine_timing.prefill_ms(
+        row, prompt.tokens_in, prompt.tokens_in - unshared_tokens
+    )
+    decode_ms = prompt.tokens_out * engine_timing.step_ms(row, slots) / slots
+    return _MinimumWork(
+        arrival.work_class, prompt.tokens_in, prefill_ms + decode_ms
+    )
 
 
-def _fill(needs, room, worth):
-    def gain(need):
-        return (worth.owed(need) - worth.late(need)) / need.engine_ms
+def _max_credit(works, available_ms, worth):
+    def gain(work):
+        return (
+            worth.full_credit(work) - worth.late_credit(work)
+        ) / work.engine_ms
 
-    earned = sum(worth.late(need) for need in needs)
-    for need in sorted(needs, key=gain, reverse=True):
-        part = min(1.0, room / need.engine_ms)
-        earned += part * (worth.owed(need) - worth.late(need))
-        room -= part * need.engine_ms
-        if room <= 0:
+    earned_credit = sum(worth.late_credit(work) for work in works)
+    for work in sorted(works, key=gain, reverse=True):
+        part = min(1.0, available_ms / work.engine_ms)
+        earned_credit += part * (
+            worth.full_credit(work) - worth.late_credit(work)
+        )
+        available_ms -= part * work.engine_ms
+        if available_ms <= 0:
             break
-    return earned
+    return earned_credit
 
 
 def mean(summaries):
--- a/clementinewall/lab/simulation.py
+++ b/clementinewall/lab/simulation.py
@@ -14,10 +14,10 @@
 
 SERVICE = "model"
 # From the first arrival on; before, gateways only meet each other.
-LEAD_MS = 2_000.0
+STARTUP_MS = 2_000.0
 # After the last arrival, for what is still at work.
-TAIL_MS = 10_000.0
-GAP_GOAL_MS = 150
+COMPLETION_MS = 10_000.0
+GAP_TARGET_MS = 150
 
 
 class Outcome(typing.NamedTuple):
@@ -39,9 +39,9 @@
     """
 
     outcomes: tuple[Outcome, ...]
-    read_ms: float
-    read_tokens: int
-    kept_elsewhere: int
+    total_prefill_ms: float
+    prefilled_tokens: int
+    cached_elsewhere_tokens: int
 
 
 class Simulation:
@@ -54,18 +54,18 @@
         self._rng = random.Random(seed)
         self._loop = loops.Loop()
         self._outcomes = []
-        self._kept_elsewhere = 0
+        self._cached_elsewhere_tokens = 0
         row = deployment.engines
-        readers = round(row.count * row.reading_part)
+        prefill_count = round(row.count * row.reading_part)
         self._engine_by_id = {
             f"e{n:04}": engines.Engine(
-                f"e{n:04}", row, n < readers, self._loop
+                f"e{n:04}", row, n < prefill_count, self._loop
             )
             for n in range(row.count)
         }
         self._configuration = _configuration(deployment)
         endpoint_by_id = {
-            name: _endpoint(name, engine.reads, row.slots)
+            name: _endpoint(name, engine.is_prefill, row.slots)
             for name, engine in self._engine_by_id.items()
         }
         self._gateway_by_ip = {
@@ -86,28 +86,28 @@
     def run(self, arrivals):
         """Play the arrivals; return a :class:`Run`."""
         for gateway in self._gateway_by_ip.values():
-            offset = self._rng.uniform(0, LEAD_MS / 2)
+            offset = self._rng.uniform(0, STARTUP_MS / 2)
             self._loop.after(offset, gateway.start, list(self._gateway_by_ip))
         for arrival in arrivals:
-            request = _Request(self, arrival, LEAD_MS + arrival.at_ms)
-            self._loop.after(LEAD_MS + arrival.at_ms, request.arrive)
+            request = _Request(self, arrival, STARTUP_MS + arrival.at_ms)
+            self._loop.after(STARTUP_MS + arrival.at_ms, request.arrive)
         last = arrivals[-1].at_ms if arrivals else 0.0
-        with policies.in_force(self._policy):
-            self._loop.run(LEAD_MS + last + TAIL_MS)
+        with policies.overridden_constants(self._policy):
+            self._loop.run(STARTUP_MS + last + COMPLETION_MS)
         every = self._engine_by_id.values()
         return Run(
             tuple(self._outcomes),
-            sum(engine.read_ms for engine in every),
-            sum(engine.read_tokens for engine in every),
-            self._kept_elsewhere,
+            sum(engine.total_prefill_ms for engine in every),
+            sum(engine.prefilled_tokens for engine in every),
+            self._cached_elsewhere_tokens,
         )
 
-    def _deliver(self, ip, tell):
+    def _deliver(self, ip, receive):
         row = self._deployment.gateways
         if self._rng.random() < row.lost_part:
             return
-        delay = row.one_way_ms + gateways.STEP_MS
-        self._loop.after(delay, tell, self._gateway_by_ip[ip])
+        delay = row.one_way_ms + gateways.PROCESSING_MS
+        self._loop.after(delay, receive, self._gateway_by_ip[ip])
 
     # What requests use.
 
@@ -118,18 +118,18 @@
 
     @property
     def _hop_ms(self):
-        return self._deployment.gateways.one_way_ms + gateways.STEP_MS
+        return self._deployment.gateways.one_way_ms + gateways.PROCESSING_MS
 
     @property
-    def answer_ms(self):
+    def prefill_overhead_ms(self):
         """Return what a prompt's reading takes besides the reading."""
-        return 2 * self._hop_ms + engines.ANSWER_MS
+        return 2 * self._hop_ms + engines.PREFILL_ANSWER_MS
 
     def hop(self, function, *arguments):
         """Call a function after the way to an engine or back."""
         self._loop.after(self._hop_ms, function, *arguments)
 
-    def some_gateway(self):
+    def random_gateway(self):
         """Return the gateway that a caller happens to use."""
         return self._rng.choice(list(self._gateway_by_ip.values()))
 
@@ -154,23 +154,25 @@
         row = self.work_class(arrival.work_class)
         route = _route(arrival.work_class, row)
         service = self._configuration.service_by_name[SERVICE]
-        return exchanges.Exchange(None, call, route, service, self._loop.read)
+        return exchanges.Exchange(
+            None, call, route, service, self._loop.time_ms
+        )
 
     def record_prefill(self, engine, prompt):
         """Count the shared tokens that another engine keeps."""
         total = 0
         for part in prompt.parts[:-1]:
             total += part.tokens
-            if total <= engine.cached(prompt):
+            if total <= engine.cached_prefix_tokens(prompt):
                 continue
             if any(
-                other.keeps(part.id)
+                other.has_cached(part.id)
                 for other in self._engine_by_id.values()
                 if other is not engine
             ):
-                self._kept_elsewhere += part.tokens
+                self._cached_elsewhere_tokens += part.tokens
 
-    def end(self, outcome):
+    def record_outcome(self, outcome):
         """Note what became of a request."""
         self._outcomes.append(outcome)
 
@@ -179,7 +181,7 @@
     """A caller's request on its way."""
 
     def __init__(self, simulation, arrival, at):
-        self._sim = simulation
+        self._simulation = simulation
         self._arrival = arrival
         self._row = simulation.work_class(arrival.work_class)
         self._at = at
@@ -187,36 +189,44 @@
 
     def arrive(self):
         """Reach some gateway, which places or refuses the request."""
-        gateway = self._sim.some_gateway()
-        exchange = self._sim.exchange(self._arrival)
+        gateway = self._simulation.random_gateway()
+        exchange = self._simulation.exchange(self._arrival)
         try:
-            plan = self._sim.place(gateway, exchange)
+            plan = self._simulation.place(gateway, exchange)
         except errors.Overloaded as exc:
             self._refused(exc)
             return
-        _Send(self._sim, gateway, plan, self._arrival.prompt, self._first)
+        _PlacedRequest(
+            self._simulation,
+            gateway,
+            plan,
+            self._arrival.prompt,
+            self._record_first_event,
+        )
 
     def _refused(self, exc):
         self._refusals += 1
-        left = self._at + self._row.deadline_ms - self._sim.loop.now
-        if self._refusals > self._row.retries or left <= 0:
-            self._end(None, None)
+        remaining_ms = (
+            self._at + self._row.deadline_ms - self._simulation.loop.now
+        )
+        if self._refusals > self._row.retries or remaining_ms <= 0:
+            self._record_outcome(None, None)
             return
         wait = exc.retry_after_ms
         if wait is None:
             wait = exchanges.RETRY_AFTER_MS
-        wait = min(wait, left * exchanges.RETRY_AFTER_FRACTION)
-        self._sim.loop.after(wait, self.arrive)
+        wait = min(wait, remaining_ms * exchanges.RETRY_AFTER_FRACTION)
+        self._simulation.loop.after(wait, self.arrive)
 
-    def _first(self, predicted_ms):
-        first_ms = self._sim.loop.now - self._at
+    def _record_first_event(self, predicted_ms):
+        first_ms = self._simulation.loop.now - self._at
         if first_ms > self._row.deadline_ms:
             first_ms = None
-        self._end(first_ms, predicted_ms)
+        self._record_outcome(first_ms, predicted_ms)
 
-    def _end(self, first_ms, predicted_ms):
+    def _record_outcome(self, first_ms, predicted_ms):
         prompt = self._arrival.prompt
-        self._sim.end(
+        self._simulation.record_outcome(
             Outcome(
                 self._arrival.work_class,
                 prompt.tokens_in,
@@ -228,91 +238,104 @@
         )
 
 
-class _Send:
+class _PlacedRequest:
     """A request that was placed, at its engines."""
 
-    def __init__(self, sim, gateway, plan, prompt, on_first):
-        self._sim = sim
+    def __init__(self, simulation, gateway, plan, prompt, on_first):
+        self._simulation = simulation
         self._gateway = gateway
         self._plan = plan
         self._prompt = prompt
         self._on_first = on_first
-        self._began = sim.loop.now
-        self._decoder = sim.engine(plan.decode_engine)
+        self._started_at = simulation.loop.now
+        self._decode_engine = simulation.engine(plan.decode_engine)
         state = plan.prefill_engine or plan.decode_engine
         self._job = state.begin_prompt(plan.urgency, plan.option.prompt_ms)
         if plan.prefill_engine is None:
             plan.decode_engine.streams += 1
-        gateway.tell()
-        sim.hop(self._read)
+        gateway.notify()
+        simulation.hop(self._start_prefill)
 
-    def _read(self):
-        reader = self._sim.engine(
+    def _start_prefill(self):
+        prefill_engine = self._simulation.engine(
             self._plan.prefill_engine or self._plan.decode_engine
         )
         if self._plan.source is not None:
-            source = self._sim.engine(self._plan.source)
-            kept = source.cached(self._prompt) - reader.cached(self._prompt)
-            if kept > 0:
-                reader.fetch(kept, lambda: self._read_rest(reader, source))
+            source = self._simulation.engine(self._plan.source)
+            missing_tokens = source.cached_prefix_tokens(
+                self._prompt
+            ) - prefill_engine.cached_prefix_tokens(self._prompt)
+            if missing_tokens > 0:
+                prefill_engine.fetch(
+                    missing_tokens,
+                    lambda: self._prefill(prefill_engine, source),
+                )
                 return
-        self._read_rest(reader)
+        self._prefill(prefill_engine)
 
-    def _read_rest(self, reader, source=None):
+    def _prefill(self, prefill_engine, source=None):
         if source is not None:
-            reader.keep_as(source, self._prompt)
-        self._sim.record_prefill(reader, self._prompt)
+            prefill_engine.copy_prefix(source, self._prompt)
+        self._simulation.record_prefill(prefill_engine, self._prompt)
         after = (
-            self._run
+            self._decode
             if self._plan.prefill_engine is None
-            else self._answer_read
+            else self._answer_prefill
         )
-        reader.read(self._prompt, self._plan.urgency, after)
+        prefill_engine.prefill(self._prompt, self._plan.urgency, after)
 
-    def _answer_read(self):
-        self._sim.loop.after(engines.ANSWER_MS, self._sim.hop, self._was_read)
+    def _answer_prefill(self):
+        self._simulation.loop.after(
+            engines.PREFILL_ANSWER_MS,
+            self._simulation.hop,
+            self._start_transfer,
+        )
 
-    def _was_read(self):
-        self._end_reading(self._plan.prefill_engine)
+    def _start_transfer(self):
+        self._record_prefill_end(self._plan.prefill_engine)
         if self._plan.measures_prefill_speed:
             self._gateway.endpoints.scales.record(
                 SERVICE,
-                self._sim.loop.now - self._began - self._sim.answer_ms,
+                self._simulation.loop.now
+                - self._started_at
+                - self._simulation.prefill_overhead_ms,
                 self._plan.unscaled_prefill_ms,
             )
         self._plan.decode_engine.streams += 1
-        self._sim.hop(
-            self._decoder.fetch, self._prompt.tokens_in, self._run_fetched
+        self._simulation.hop(
+            self._decode_engine.fetch,
+            self._prompt.tokens_in,
+            self._cache_and_decode,
         )
 
-    def _end_reading(self, state):
+    def _record_prefill_end(self, state):
         state.end_prompt(self._job, True)
         self._gateway.endpoints.record_prefill(state, self._prompt)
 
-    def _run_fetched(self):
-        self._decoder.keep(self._prompt)
-        self._run()
+    def _cache_and_decode(self):
+        self._decode_engine.cache_prompt(self._prompt)
+        self._decode()
 
-    def _run(self):
-        self._decoder.run(
+    def _decode(self):
+        self._decode_engine.decode(
             self._prompt,
             self._plan.run_urgency,
-            self._made_first,
-            self._ended,
+            self._send_first_event,
+            self._send_end,
         )
 
-    def _made_first(self):
-        self._sim.hop(self._got_first)
+    def _send_first_event(self):
+        self._simulation.hop(self._receive_first_event)
 
-    def _got_first(self):
+    def _receive_first_event(self):
         if self._plan.prefill_engine is None:
-            self._end_reading(self._plan.decode_engine)
+            self._record_prefill_end(self._plan.decode_engine)
         self._on_first(self._plan.option.first_ms)
 
-    def _ended(self):
-        self._sim.hop(self._got_end)
+    def _send_end(self):
+        self._simulation.hop(self._receive_end)
 
-    def _got_end(self):
+    def _receive_end(self):
         self._plan.decode_engine.streams -= 1
 
 
@@ -325,8 +348,8 @@
     return domain.Configuration(1, {}, {SERVICE: service}, server.Limits())
 
 
-def _endpoint(name, reads, slots):
-    stage = domain.PREFILL if reads else domain.DECODE
+def _endpoint(name, is_prefill, slots):
+    stage = domain.PREFILL if is_prefill else domain.DECODE
     return domain.Endpoint(name, SERVICE, name, "", slots, False, stage, 1)
 
 
@@ -339,7 +362,7 @@
         shares=(domain.Share(SERVICE, 1.0),),
         timeout_ms=row.deadline_ms,
         goal_ms=row.goal_ms,
-        gap_goal_ms=GAP_GOAL_MS,
+        gap_goal_ms=GAP_TARGET_MS,
         priority=0,
         max_attempts=1,
         resumable=False,
--- a/tests/lab/test_engine.py
+++ b/tests/lab/test_engine.py
@@ -8,7 +8,7 @@
 from clementinewall import domain
 from clementinewall.lab import deployment
 from clementinewall.lab import engine as engines
-from clementinewall.lab import figures
+from clementinewall.lab import engine_timing
 from clementinewall.lab import loop as loops
 
 ROW = deployment.Engines(count=1, slots=2, kv_tokens=10_000)
@@ -20,7 +20,7 @@
     return domain.Prompt("m", sum(p.tokens for p in found), out, found)
 
 
-class Reading(unittest.TestCase):
+class PrefillEngineTest(unittest.TestCase):
     """An engine that reads prompts."""
 
     def setUp(self):
@@ -29,43 +29,45 @@
         self.engine = engines.Engine("e", ROW, True, self.loop)
         self.ends = []
 
-    def read(self, name, tokens, urgency=1):
+    def prefill(self, name, tokens, urgency=1):
         """Have a prompt read; its end is noted by name."""
 
         def done():
             self.ends.append((name, self.loop.now))
 
-        self.engine.read(prompt((name, tokens)), urgency, done)
+        self.engine.prefill(prompt((name, tokens)), urgency, done)
 
-    def test_one_prompt_takes_what_the_figures_say(self):
-        self.read("a", 4_000)
+    def test_prefill_of_one_prompt_takes_the_configured_time(self):
+        self.prefill("a", 4_000)
         self.loop.run(10_000)
-        expected = figures.prompt_ms(ROW, 4_000, 0)
+        expected = engine_timing.prefill_ms(ROW, 4_000, 0)
         self.assertEqual(self.ends, [("a", expected)])
 
-    def test_an_engine_takes_what_its_own_figures_say(self):
+    def test_slower_engine_takes_longer_to_prefill(self):
         slow = ROW._replace(tokens_a_ms=ROW.tokens_a_ms / 3)
         self.engine = engines.Engine("e", slow, True, self.loop)
-        self.read("a", 4_000)
+        self.prefill("a", 4_000)
         self.loop.run(10_000)
-        usual = figures.prompt_ms(ROW, 4_000, 0)
+        usual = engine_timing.prefill_ms(ROW, 4_000, 0)
         self.assertGreater(self.ends[0][1], 2 * usual)
 
-    def test_urgent_prompts_go_first_but_interrupt_nothing(self):
-        self.read("begun", 4_000, 2)
-        self.read("patient", 1_000, 2)
-        self.read("urgent", 1_000, 0)
+    def test_urgent_prompt_goes_first_without_preemption(self):
+        self.prefill("begun", 4_000, 2)
+        self.prefill("patient", 1_000, 2)
+        self.prefill("urgent", 1_000, 0)
         self.loop.run(10_000)
         names = [name for name, _ in self.ends]
         self.assertEqual(names, ["begun", "urgent", "patient"])
 
-    def test_what_is_kept_is_not_read_again(self):
-        self.read("a", 4_000)
+    def test_cached_prompt_is_not_prefilled_again(self):
+        self.prefill("a", 4_000)
         self.loop.run(10_000)
-        self.assertEqual(self.engine.cached(prompt(("a", 4_000))), 4_000)
-        self.read("a", 4_000)
+        self.assertEqual(
+            self.engine.cached_prefix_tokens(prompt(("a", 4_000))), 4_000
+        )
+        self.prefill("a", 4_000)
         self.loop.run(20_000)
-        self.assertEqual(self.engine.read_tokens, 4_000)
+        self.assertEqual(self.engine.prefilled_tokens, 4_000)
 
     @hypothesis.given(
         strategies.lists(
@@ -76,19 +78,19 @@
         )
     )
     @hypothesis.settings(derandomize=True)
-    def test_memory_holds_no_more_than_there_is(self, rows):
+    def test_cache_does_not_exceed_memory(self, rows):
         loop = loops.Loop()
         engine = engines.Engine("e", ROW, True, loop)
         size_by_name = {}
         for number, tokens in rows:
             size = size_by_name.setdefault(f"p{number}", tokens)
-            engine.keep(prompt((f"p{number}", size)))
-            kept = [n for n in size_by_name if engine.keeps(n)]
+            engine.cache_prompt(prompt((f"p{number}", size)))
+            kept = [n for n in size_by_name if engine.has_cached(n)]
             total = sum(size_by_name[name] for name in kept)
             self.assertLessEqual(total, ROW.kv_tokens)
 
 
-class Decoding(unittest.TestCase):
+class DecodeEngineTest(unittest.TestCase):
     """An engine that runs streams."""
 
     def setUp(self):
@@ -99,37 +101,39 @@
 
     def run_stream(self, name, tokens_out):
         """Begin a stream; its end is noted by name."""
-        self.engine.run(
+        self.engine.decode(
             prompt((name, 100), out=tokens_out),
             1,
             lambda: None,
             lambda: self.ends.append((name, self.loop.now)),
         )
 
-    def test_one_stream_takes_its_steps(self):
+    def test_one_stream_takes_one_step_per_token(self):
         self.run_stream("a", 50)
         self.loop.run(10_000)
         name, at = self.ends[0]
-        self.assertAlmostEqual(at, 50 * figures.step_ms(ROW, 1))
+        self.assertAlmostEqual(at, 50 * engine_timing.step_ms(ROW, 1))
 
     def test_streams_beyond_the_slots_wait(self):
         for name in "abc":
             self.run_stream(name, 100)
         self.loop.run(10_000)
-        both = 100 * figures.step_ms(ROW, 2)
+        both = 100 * engine_timing.step_ms(ROW, 2)
         at = dict(self.ends)
         self.assertAlmostEqual(at["a"], both)
         self.assertAlmostEqual(at["b"], both)
-        self.assertAlmostEqual(at["c"], both + 100 * figures.step_ms(ROW, 1))
+        self.assertAlmostEqual(
+            at["c"], both + 100 * engine_timing.step_ms(ROW, 1)
+        )
 
-    def test_reading_slows_the_streams(self):
+    def test_prefill_on_a_decode_engine_slows_its_streams(self):
         self.run_stream("a", 100)
-        self.engine.read(prompt(("p", 3_000)), 1, lambda: None)
+        self.engine.prefill(prompt(("p", 3_000)), 1, lambda: None)
         self.loop.run(10_000)
         _, at = self.ends[0]
-        self.assertGreater(at, 100 * figures.step_ms(ROW, 1) + 20)
+        self.assertGreater(at, 100 * engine_timing.step_ms(ROW, 1) + 20)
 
-    def test_moves_of_memory_go_one_after_another(self):
+    def test_cache_transfers_to_an_engine_are_serialized(self):
         ends = []
         for _ in range(2):
             self.engine.fetch(10_000, lambda: ends.append(self.loop.now))
--- a/tests/lab/test_main.py
+++ b/tests/lab/test_main.py
@@ -13,15 +13,15 @@
 SAMPLES = sorted((ROOT / "samples" / "lab").glob("*.toml"))
 
 
-class Files(unittest.TestCase):
+class DeploymentFileTest(unittest.TestCase):
     """Deployment files."""
 
-    def test_all_samples_are_good(self):
+    def test_all_samples_load(self):
         self.assertTrue(SAMPLES)
         for path in SAMPLES:
             self.assertEqual(deployment.load(path).name, path.stem)
 
-    def test_each_mistake_is_named(self):
+    def test_error_names_every_mistake(self):
         text = SAMPLES[0].read_text()
         bad = text.replace("slots =", "slosts =").replace(
             "clump = 3.0", 'clump = "many"'
@@ -34,12 +34,12 @@
         for part in ("slosts", "engines.slots", "clump"):
             self.assertIn(part, caught.exception.message)
 
-    def test_a_file_that_is_not_there(self):
+    def test_missing_file_is_a_settings_error(self):
         with self.assertRaises(errors.SettingsError):
             deployment.load("/nowhere.toml")
 
 
-class CommandLine(unittest.TestCase):
+class CommandLineTest(unittest.TestCase):
     """``clementinewall-lab``."""
 
     def lab(self, *words):
@@ -52,14 +52,14 @@
             check=False,
         )
 
-    def test_a_short_run_as_json(self):
+    def test_short_run_prints_json(self):
         done = self.lab(
             str(SAMPLES[0]), "--seconds=0.5", "--seeds=1", "--json"
         )
         self.assertEqual(done.returncode, 0, done.stderr)
         self.assertIn('"random-split"', done.stdout)
 
-    def test_mistakes_end_with_a_sentence(self):
+    def test_bad_argument_exits_without_a_traceback(self):
         for words in (
             ("--load=-1",),
             ("--seeds=a",),
--- a/tests/lab/test_simulation.py
+++ b/tests/lab/test_simulation.py
@@ -37,7 +37,7 @@
 SECONDS = 6.0
 
 
-def times(factor):
+def with_load(factor):
     """Return the small deployment with so many times its load."""
     classes = {
         name: row._replace(per_s=row.per_s * factor)
@@ -52,15 +52,15 @@
     return main.play(main.Job(where, policy, seed, SECONDS))
 
 
-class Load(unittest.TestCase):
+class LoadTest(unittest.TestCase):
     """The requests that are drawn."""
 
-    def test_the_same_seed_draws_the_same(self):
+    def test_same_seed_draws_the_same_arrivals(self):
         self.assertEqual(
             load.draw(SMALL, SECONDS, 3), load.draw(SMALL, SECONDS, 3)
         )
 
-    def test_rates_and_sizes_are_those_of_the_deployment(self):
+    def test_rates_and_sizes_follow_the_deployment(self):
         arrivals = load.draw(SMALL, 200.0, 3)
         rows = [a for a in arrivals if a.work_class == "long"]
         own = [a.prompt.parts[-1].tokens for a in rows]
@@ -68,7 +68,7 @@
         mean = sum(own) / len(own)
         self.assertAlmostEqual(mean, LONG.tokens_in, delta=600)
 
-    def test_a_burst_raises_one_class_only(self):
+    def test_burst_raises_only_its_class(self):
         burst = deployment.Burst("long", at_s=50, for_s=50, factor=2.0)
         arrivals = load.draw(SMALL._replace(bursts=(burst,)), 100.0, 3)
         found = {
@@ -85,77 +85,79 @@
         self.assertAlmostEqual(short_ratio, 1.0, delta=0.2)
 
 
-class Runs(unittest.TestCase):
+class SimulationTest(unittest.TestCase):
     """Policies side by side."""
 
-    def test_the_same_seed_plays_the_same(self):
+    def test_same_seed_gives_the_same_result(self):
         self.assertEqual(play("gateway"), play("gateway"))
 
-    def test_every_request_ends(self):
+    def test_every_request_has_an_outcome(self):
         found = play("gateway")
         asked = sum(row.asked for row in found.by_class.values())
         self.assertEqual(asked, len(load.draw(SMALL, SECONDS, 1)))
 
-    def test_a_calm_load_is_served_in_time(self):
-        self.assertGreater(play("gateway", times(0.3)).credit, 0.9)
+    def test_light_load_is_served_in_time(self):
+        self.assertGreater(play("gateway", with_load(0.3)).credit, 0.9)
 
-    def test_nothing_earns_more_than_the_bound(self):
+    def test_no_policy_exceeds_the_bound(self):
         for factor in (0.3, 1.0, 3.0):
             for text in policies.PLACERS:
-                found = play(text, times(factor))
+                found = play(text, with_load(factor))
                 self.assertLessEqual(found.credit, found.bound + 1e-9)
 
-    def test_placing_by_what_is_known_earns_more(self):
+    def test_gateway_policy_beats_random_placement(self):
         # With the load near what the engines can read, callers of a random
         # engine wait behind whoever is there.
         known = play("gateway").credit
         self.assertGreater(known, play("random").credit + 0.1)
         self.assertGreater(known, play("random-split").credit + 0.02)
 
-    def test_under_overload_the_large_requests_are_served_too(self):
+    def test_overload_does_not_starve_large_requests(self):
         # Refusing whatever is large would earn as much credit with less
         # engine time, and its callers would never be served.
-        found = play("gateway", times(1.5))
+        found = play("gateway", with_load(1.5))
         row = found.by_class["long"]
         self.assertGreater(row.largest, row.credit / 2)
 
 
-class OtherEngines(unittest.TestCase):
+class PrefillSpeedLearningTest(unittest.TestCase):
     """Engines that read at another speed than gateways predict."""
 
-    UNLEARNED = "gateway:prefill_scale.FIRST_STEP=0,prefill_scale.LAST_STEP=0"
+    WITHOUT_LEARNING = (
+        "gateway:prefill_scale.FIRST_STEP=0,prefill_scale.LAST_STEP=0"
+    )
 
-    def both(self, tokens_a_ms, pairs_ms_a_million, factor):
+    def credits(self, tokens_a_ms, pairs_ms_a_million, factor):
         """Return the credit with what gateways learn, and without."""
-        where = times(factor)
+        where = with_load(factor)
         engines = where.engines._replace(
             tokens_a_ms=tokens_a_ms, pairs_ms_a_million=pairs_ms_a_million
         )
         where = where._replace(engines=engines)
         return [
             sum(play(text, where, seed).credit for seed in (1, 2, 3)) / 3
-            for text in ("gateway", self.UNLEARNED)
+            for text in ("gateway", self.WITHOUT_LEARNING)
         ]
 
-    def test_prompts_are_not_sent_to_slow_engines_that_still_read(self):
-        learned, unlearned = self.both(60.0, 0.3, 0.6)
+    def test_learning_helps_with_engines_slower_than_predicted(self):
+        learned, unlearned = self.credits(60.0, 0.3, 0.6)
         self.assertGreater(learned, unlearned + 0.01)
 
-    def test_nothing_is_lost_where_predictions_hold(self):
-        learned, unlearned = self.both(157.0, 0.109, 1.0)
+    def test_learning_costs_little_where_predictions_hold(self):
+        learned, unlearned = self.credits(157.0, 0.109, 1.0)
         self.assertGreater(learned, unlearned - 0.03)
 
 
-class Policies(unittest.TestCase):
+class PolicyTest(unittest.TestCase):
     """Policies as they are named on the command line."""
 
-    def test_other_thresholds_hold_for_their_run_only(self):
+    def test_overrides_apply_to_their_run_only(self):
         before = play("gateway")
         other = play("gateway:placement.MAX_SLOT_FRACTION=0.05")
         self.assertNotEqual(other.credit, before.credit)
         self.assertEqual(play("gateway"), before)
 
-    def test_mistakes_are_named(self):
+    def test_error_names_the_mistake(self):
         for text, part in (
             ("best", "no policy 'best'"),
             ("gateway:placement.NOTHING=1", "placement.NOTHING"),
@@ -168,7 +170,7 @@
             self.assertIn(part, caught.exception.message)
 
 
-class Report(unittest.TestCase):
+class ReportTest(unittest.TestCase):
     """What is printed."""
 
     def test_table_and_json_name_policies_and_classes(self):
