--- a/clementinewall/entry/__init__.py
+++ b/clementinewall/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The program that answers callers."""
+"""The entry, which serves callers over HTTP."""
--- a/clementinewall/entry/app.py
+++ b/clementinewall/entry/app.py
@@ -1,8 +1,9 @@
-"""The HTTP interface towards callers.
+"""The HTTP API for callers.
 
-Model work has the interface that model clients already use; calls to plain
-services pass under ``/services/NAME/``.  Any error is a problem document
-with the verdict, or, once a stream has begun, an ``error`` event with one.
+Model requests use the completions API that model clients already support;
+calls to plain services are served under ``/services/NAME/``.  Every error is
+a problem document with the verdict or, once a stream has begun, an ``error``
+event that contains one.
 """
 
 import base64
@@ -33,10 +34,10 @@
 
 
 class CallerApp:
-    """Answers callers; one per entry."""
+    """The ASGI application for callers; one per entry."""
 
     def __init__(self, node, loads, relay, service_calls):
-        """Use the node and what serves each kind of work."""
+        """Serve models by ``relay``, services by ``service_calls``."""
         self._node = node
         self._loads = loads
         self._relay = relay
@@ -69,7 +70,7 @@
         return self._count_requests(app)
 
     def _count_requests(self, app):
-        """Count open requests and end kept connections while draining."""
+        """Count open requests and close connections while draining."""
 
         async def handle(scope, receive, send):
             if scope["type"] != "http":
@@ -84,38 +85,45 @@
         return handle
 
     def _close_when_draining(self, send):
-        async def send_marked(message):
+        async def send_with_close(message):
             draining = self._node.stopping.is_set()
             if draining and message["type"] == "http.response.start":
-                # A caller that keeps its connection would send its next
-                # request into a closed socket and not know whether it ran.
+                # On a kept connection, the caller could send its next
+                # request as the socket closes and not know whether it ran.
                 headers = list(message.get("headers", []))
                 headers.append((b"connection", b"close"))
                 message = {**message, "headers": headers}
             await send(message)
 
-        return send_marked
+        return send_with_close
 
     def _check_ready(self):
         if not self._node.is_ready():
             raise errors.NotReady(
-                "no configuration is known yet", retry_after_ms=1_000
+                "no configuration has been received yet", retry_after_ms=1_000
             )
 
     def _check_capacity(self):
-        """Refuse work that this entry cannot hold; it is not run."""
+        """Refuse a request if too many are open.
+
+        :raises NotReady: there is no configuration yet.
+        :raises Overloaded: the limit is reached; the request is not run.
+        """
         self._check_ready()
         if self.open_requests > self._node.settings.limits.requests:
             raise errors.Overloaded(
-                "too many requests are open here", retry_after_ms=500
+                "too many requests are open at this entry", retry_after_ms=500
             )
 
     async def _read_body(self, request, context):
-        """Read the body of work that has the time to end here."""
+        """Return the body of a request that fits into a drain.
+
+        :raises NotReady: the process may end before the deadline.
+        """
         deadline_ms = context.work_class.deadline_ms
         self._node.check_time(deadline_ms)
         raw = await _web.read_body(request, self._node.settings.limits)
-        # The deadline counts from here, and a slow body takes its time too.
+        # The deadline starts here, and reading a slow body took time.
         self._node.check_time(deadline_ms)
         return raw
 
@@ -159,7 +167,9 @@
         )
         service = request.path_params["service"]
         if not self._loads.is_known("service", service):
-            raise errors.UnknownService(f"no endpoint serves {service!r}")
+            raise errors.UnknownService(
+                f"no endpoint serves service {service!r}"
+            )
         raw = await self._read_body(request, context)
         key = request_parsing.read_key(request)
         call = calls.Call(
@@ -186,7 +196,7 @@
                 answer = await self._calls.run_idempotent(call)
             elif key is None:
                 raise errors.MissingKey(
-                    f"a call of class {context.class_name} needs a key in "
+                    f"a call of class {context.class_name} requires a key in "
                     f"{request_parsing.KEY_HEADER}"
                 )
             else:
@@ -225,7 +235,7 @@
             await sink.fail(exc, scope, receive)
 
     async def _run_until_disconnect(self, work, sink, receive):
-        """Carry the answer, but stop when the caller has gone."""
+        """Relay the answer; cancel it if the caller disconnects."""
         failure = None
         async with anyio.create_task_group() as group:
             group.start_soon(
@@ -235,8 +245,8 @@
                 await self._relay.run(work, sink)
                 await sink.finish()
             except errors.ClementinewallError as exc:
-                # Raised inside the group it would come out wrapped in an
-                # exception group, which no handler of problems expects.
+                # Raised inside the task group, it would be wrapped in an
+                # exception group, which the error handlers don't expect.
                 failure = exc
             group.cancel_scope.cancel()
         if failure is not None:
@@ -255,21 +265,21 @@
 
 
 class _PostEndpoint:
-    """Makes a method an ASGI endpoint that takes POST only."""
+    """Wraps a method as an ASGI endpoint that accepts only POST."""
 
     def __init__(self, handle):
         self._handle = handle
 
     async def __call__(self, scope, receive, send):
         if scope["method"] != "POST":
-            error = errors.BadRequest("use POST")
+            error = errors.BadRequest("method not allowed; use POST")
             error.status = 405
             raise error
         await self._handle(scope, receive, send)
 
 
 class _StreamSink:
-    """Sends events to the caller as they come."""
+    """Streams events to the caller as they arrive."""
 
     def __init__(self, work, send, limits):
         self._work = work
@@ -311,7 +321,7 @@
         )
 
     async def _end_body(self, body):
-        """End the answer, unless the caller has stopped reading."""
+        """Send the end of the answer, or give up if the caller is too slow."""
         with anyio.move_on_after(self._timeout_s):
             await self._send_body(body, False)
 
@@ -325,7 +335,7 @@
 
 
 class _BufferedSink:
-    """Gathers the events into one answer."""
+    """Collects the events and sends them as one answer."""
 
     def __init__(self, work, send, _limits):
         self._work = work
@@ -340,9 +350,10 @@
 
     async def finish(self):
         if None in self._texts:
-            # Left out, the answer would be short and nobody would know.
+            # Skipping the event would truncate the answer unnoticed.
             raise errors.EndpointFailed(
-                "an event of the engine cannot be read", verdicts.Verdict.RAN
+                "the engine sent an event that cannot be parsed",
+                verdicts.Verdict.RAN,
             )
         response = responses.JSONResponse(
             self._answer(),
@@ -387,7 +398,7 @@
 
 
 def _pick_addresses(rows):
-    """Pick addresses over data centres, so that one death costs little."""
+    """Pick rows from several data centres, so that one outage costs few."""
     picked = []
     by_data_centre = {}
     for row in rows:
--- a/clementinewall/entry/calls.py
+++ b/clementinewall/entry/calls.py
@@ -1,9 +1,10 @@
-"""Calls to plain services, idempotent ones and bookings.
+"""Calls to plain services: idempotent calls and bookings.
 
-An idempotent call is simply tried until it is answered or given up.  A
-booking goes to its key's home entry, which announces it in the log before
-it dispatches, see ``clementinewall.records.bookings``.  Another entry may
-act as home at any time: the log lets only one of them dispatch.
+An idempotent call is retried until it is answered or its attempts are used
+up.  A booking is forwarded to the owner of its key, an entry that commits an
+intent to the log before it dispatches, see
+``clementinewall.records.bookings``.  Any other entry may act as the owner at
+any time: the log allows only one of them to dispatch.
 """
 
 import base64
@@ -28,12 +29,13 @@
 
 MAX_ATTEMPTS = 3
 MAX_OWNERS_TRIED = 3
-# An intent older than this is not dispatched any more by its own process:
-# after so long a pause the log may have forgotten the intent, and with it
-# the reason why nobody else runs the call.
+# A process doesn't dispatch its own intent once it is older than this: after
+# so long a pause the log may have dropped the intent, so that another process
+# may run the call.
 MAX_INTENT_AGE_MS = 10_000
-# A home that is silent this long may be paused.  Going on elsewhere is safe
-# even if it is only slow, because the log lets one of the two dispatch.
+# An owner that doesn't answer for this long may be paused.  Trying another
+# is safe even if the owner is only slow, because the log allows only one of
+# the two to dispatch.
 FORWARD_TIMEOUT_MS = 1_500
 OWNER_CHECK_INTERVAL_MS = 500
 BOOKINGS_PATH = "/control/bookings"
@@ -41,7 +43,7 @@
 
 
 class Call(typing.NamedTuple):
-    """A call to a service, as it travels to its home entry."""
+    """A call to a service, as it is sent to the owner of its key."""
 
     request_id: str
     caller: str
@@ -57,7 +59,10 @@
 
 
 class Answer(typing.NamedTuple):
-    """The service's answer; ``kept`` if it was given to an earlier copy."""
+    """The service's answer.
+
+    ``kept`` tells that it is the recorded answer to an earlier copy.
+    """
 
     status: int
     body: str
@@ -66,10 +71,10 @@
 
 
 class Calls:
-    """Serves calls; one per entry."""
+    """Serves service calls; one per entry."""
 
     def __init__(self, node, loads, guard):
-        """Use the node's configuration, the loads and the crash guard."""
+        """Choose endpoints by ``loads`` and ``guard``."""
         self._node = node
         self._loads = loads
         self._guard = guard
@@ -78,18 +83,18 @@
         self._group = None
 
     async def run(self):
-        """Hold the tasks of the partitions in use."""
+        """Run the tasks of the partitions in use."""
         async with anyio.create_task_group() as group:
             self._group = group
             await anyio.sleep_forever()
 
     async def flush(self):
-        """Wait a while for the outcomes that are not committed yet."""
+        """Wait a limited time until pending outcomes are committed."""
         for part in self._partition_by_number.values():
             await part.flush()
 
     async def make_ticket(self, caller):
-        """Return a key that stays at most once however late it is used.
+        """Return a key that never runs twice, however late it is used.
 
         :raises LogUnavailable: the bookings cannot be read.
         """
@@ -104,28 +109,28 @@
         return await self._dispatch(call, idempotent=True)
 
     async def run_booking(self, call):
-        """Answer a call that may run at most once, by way of its owner."""
-        end = self._node.clock.now() + call.deadline_ms
+        """Answer a call that may run at most once, through its owner."""
+        deadline = self._node.clock.now() + call.deadline_ms
         for owner in self._owners(call.key):
-            left = end - self._node.clock.now()
-            if owner.id == self._node.id or left <= 0:
+            remaining_ms = deadline - self._node.clock.now()
+            if owner.id == self._node.id or remaining_ms <= 0:
                 break
             try:
-                return await self._forward(owner, call, left)
+                return await self._forward(owner, call, remaining_ms)
             except errors.EndpointFailed as exc:
                 _log.warning(
-                    "a home entry did not answer",
+                    "owner of the key did not answer; trying the next entry",
                     request=call.request_id,
                     home=owner.id,
                     error=exc.message,
                 )
-        # Whatever those homes did, their intents are in the log or will
-        # come too late: acting as home here cannot run the call twice.
-        left = max(1, end - self._node.clock.now())
-        return await self.run_as_owner(call._replace(deadline_ms=left))
+        # Whatever those owners did, their intents are in the log or will be
+        # too late: acting as the owner here cannot run the call twice.
+        remaining_ms = max(1, deadline - self._node.clock.now())
+        return await self.run_as_owner(call._replace(deadline_ms=remaining_ms))
 
     async def run_as_owner(self, call):
-        """Announce, dispatch and conclude a booking at this entry."""
+        """Commit the intent, dispatch it and record the outcome."""
         part = self._partition(bookings.partition_of(call.key))
         await part.wait_ready(
             min(call.deadline_ms, partition.READ_BACK_TIMEOUT_MS)
@@ -133,29 +138,29 @@
         digest = _digest(call)
         booking = part.booking(call.key)
         if booking is None or booking.state == "not_run":
-            self._check_capacity(part, call)
+            self._check_new_key(part, call)
             self._guard.check(digest, verdicts.Verdict.NOT_RUN)
             intent = bookings.Intent(secrets.token_hex(8), call.key, digest)
-            announced = self._node.clock.now()
+            announced_at = self._node.clock.now()
             booking = await part.announce(intent)
             if booking.intent.id == intent.id and booking.state == "open":
-                return await self._run_once(part, call, intent, announced)
+                return await self._run_once(part, call, intent, announced_at)
         if booking.intent.digest != digest:
-            raise errors.KeyReused("the key came with another request")
+            raise errors.KeyReused("the key was used for a different request")
         return await self._await_outcome(part, call)
 
-    def _check_capacity(self, part, call):
+    def _check_new_key(self, part, call):
         if part.table.is_expired(call.key):
             raise errors.KeyExpired(
-                "the ticket is older than the log's memory"
+                "the ticket is older than the log's oldest record"
             )
         if part.table.is_full:
             raise errors.BookingsFull(
-                "too many keys are remembered", retry_after_ms=10_000
+                "too many keys are stored", retry_after_ms=10_000
             )
 
-    async def _run_once(self, part, call, intent, announced):
-        """Dispatch the call whose own intent is the valid one."""
+    async def _run_once(self, part, call, intent, announced_at):
+        """Dispatch the call, whose intent this process has committed."""
 
         def record_outcome(state, **outcome_fields):
             part.record_outcome(
@@ -164,11 +169,12 @@
                 )
             )
 
-        waited = self._node.clock.now() - announced
-        if waited > MAX_INTENT_AGE_MS:
+        waited_ms = self._node.clock.now() - announced_at
+        if waited_ms > MAX_INTENT_AGE_MS:
             record_outcome("not_run")
             raise errors.LogUnavailable(
-                f"held up for {waited} ms", retry_after_ms=1_000
+                f"committing took {waited_ms} ms; the call was not run",
+                retry_after_ms=1_000,
             )
         try:
             answer = await self._dispatch(call, idempotent=False)
@@ -188,42 +194,43 @@
         return answer
 
     async def _await_outcome(self, part, call):
-        """Wait for what another copy of the call comes to."""
-        end = self._node.clock.now() + call.deadline_ms
+        """Wait for the outcome of another copy of the call."""
+        deadline = self._node.clock.now() + call.deadline_ms
         while True:
             booking = part.booking(call.key)
             if booking is None or booking.state == "not_run":
                 raise errors.NoEndpoint(
-                    "an earlier copy was not run", retry_after_ms=200
+                    "an earlier copy of this call was not run",
+                    retry_after_ms=200,
                 )
             if booking.state == "ran":
                 return _recorded_answer(booking.outcome)
-            left = end - self._node.clock.now()
+            remaining_ms = deadline - self._node.clock.now()
             is_orphaned = booking.state == "open" and not self._is_live(
                 booking.by
             )
-            if booking.state == "in_doubt" or is_orphaned or left <= 0:
+            if booking.state == "in_doubt" or is_orphaned or remaining_ms <= 0:
                 raise errors.BookingInDoubt(
-                    "a call with this key began and left no outcome",
+                    "a call with this key was started and has no outcome",
                     retry_after_ms=None if is_orphaned else 1_000,
                 )
-            await part.wait_change(min(left, OWNER_CHECK_INTERVAL_MS))
+            await part.wait_change(min(remaining_ms, OWNER_CHECK_INTERVAL_MS))
 
     async def _dispatch(self, call, idempotent):
-        """Try endpoints until one answers or no more try is allowed."""
+        """Try endpoints until one answers or no further try is allowed."""
         digest = _digest(call)
-        end = self._node.clock.now() + call.deadline_ms
+        deadline = self._node.clock.now() + call.deadline_ms
         failed = set()
         last = None
         for _ in range(MAX_ATTEMPTS):
             verdict = last.verdict if last else verdicts.Verdict.NOT_RUN
             self._guard.check(digest, verdict)
             name = self._choose(call, digest, failed, verdict)
-            left = end - self._node.clock.now()
-            if name is None or left <= 0:
+            remaining_ms = deadline - self._node.clock.now()
+            if name is None or remaining_ms <= 0:
                 break
             try:
-                return await self._attempt(call, name, left)
+                return await self._attempt(call, name, remaining_ms)
             except errors.EndpointFailed as exc:
                 last = exc
                 failed.add(name)
@@ -233,7 +240,7 @@
         if last is not None:
             raise last
         raise errors.NoEndpoint(
-            f"no endpoint of {call.service!r} is in reach",
+            f"no endpoint of service {call.service!r} is available",
             retry_after_ms=1_000,
         )
 
@@ -275,7 +282,7 @@
 
     async def _after_failure(self, call, digest, name, exc):
         _log.warning(
-            "an endpoint broke off",
+            "call to an endpoint failed",
             request=call.request_id,
             endpoint=name,
             verdict=exc.verdict.value,
@@ -288,9 +295,9 @@
             )
 
     async def _forward(self, owner, call, timeout_ms):
-        """Have the home entry run the call.
+        """Send the call to its owner and return the answer.
 
-        :raises EndpointFailed: it gave no answer of its own.
+        :raises EndpointFailed: the owner returned no valid answer.
         """
         token = self._node.settings.security.control_token
         request = self._http.build_request(
@@ -304,7 +311,7 @@
         if answer.status_code != 200:
             error = _web.error_of_problem(answer.content)
             if error is None or isinstance(error, errors.NotReady):
-                raise errors.EndpointFailed(f"{owner.id}: no clear answer")
+                raise errors.EndpointFailed(f"{owner.id}: no usable answer")
             raise error
         value, mistakes = _schema.build(Answer, answer.json())
         if mistakes:
@@ -312,10 +319,11 @@
         return value
 
     def _owners(self, key):
-        """Return the entries to act as home of the key, best first.
+        """Return the entries to try as owner of the key, in order.
 
-        They are drawn from the rows that every node knows, so that all
-        agree in calm times and a partition has one reader, not hundreds.
+        They are chosen among the members that every node knows.  While the
+        membership is stable all entries agree on them, so that a partition
+        is read by one entry and not by hundreds.
         """
         rows = {r.id: r for r in self._node.members.representatives("entry")}
         number = bookings.partition_of(key)
--- a/clementinewall/entry/crash_guard.py
+++ b/clementinewall/entry/crash_guard.py
@@ -1,7 +1,8 @@
-"""Keeping a request that crashes endpoints from reaching a third.
+"""Keeps a request that crashes endpoints from reaching a third one.
 
-Shared by model work and service calls: both probe an endpoint that broke
-off, mark the work if it went down, and tell the other entries first.
+Model requests and service calls both use it: after a failure they probe the
+endpoint, add a crash record if it went down, and announce the record to the
+other entries before they retry.
 """
 
 import typing
@@ -25,10 +26,10 @@
 
 
 class Work(typing.NamedTuple):
-    """Work as marks know it, and what its order of endpoints comes from.
+    """Identifies a request in crash records and orders its endpoints.
 
-    ``kind`` and ``name`` say what serves it, ``text`` is the prompt, or the
-    digest of a call.
+    ``kind`` and ``name`` are those of what serves it; ``text`` is the prompt
+    of a model request or the digest of a call.
     """
 
     digest: str
@@ -38,16 +39,16 @@
 
 
 class CrashGuard:
-    """Checks and marks work by its digest."""
+    """Checks requests against crash records and adds new ones."""
 
     def __init__(self, node, loads):
-        """Use the node's table of marks and the loads' reports."""
+        """Use the crash table of ``node`` and the reports in ``loads``."""
         self._node = node
         self._loads = loads
         self._http = _http.client(PROBE_TIMEOUT_MS)
 
     def check(self, digest, verdict):
-        """Refuse work that crashed two endpoints.
+        """Refuse a request that crashed two endpoints.
 
         :raises HarmfulRequest: with ``verdict``.
         """
@@ -57,16 +58,16 @@
             )
 
     def remaining_endpoint(self, work, failed, verdict):
-        """Return the one endpoint that may still try suspect work.
+        """Return the only endpoint that may still serve a suspect request.
 
-        ``None`` means that the work is not suspect.  The endpoint is the
-        first of the order in which equal work finds endpoints anyway, but
-        for those that it crashed.  Copies that all entries send at once
-        begin at one of the first two of that order.  Each copy that goes
-        on then meets the other one of the two.  In any other order copies
-        that know of different crashes crash a third and a fourth endpoint.
+        ``None`` means that the request has no crash record.  The endpoint is
+        the first one in :meth:`Loads.preference_order` that the request has
+        not crashed.  Copies sent through all entries at once start at one
+        of the first two endpoints of that order, and each retry then goes to
+        the other one.  In any other order, entries that know of different
+        crashes would send copies to a third and a fourth endpoint.
 
-        :raises NoEndpoint: there is none, or it failed already.
+        :raises NoEndpoint: there is none, or it has failed already.
         """
         crashed = self._node.crashes.endpoints(work.digest)
         if not crashed:
@@ -75,32 +76,32 @@
         remaining = [name for name in order if name not in crashed]
         if not remaining or remaining[0] in failed:
             raise errors.NoEndpoint(
-                "no endpoint remains to try this request", verdict
+                "no endpoint remains that may serve this request", verdict
             )
         return remaining[0]
 
     async def record_failure(self, digest, request_id, name, strong):
-        """Mark the work if its endpoint is gone, and tell the peers."""
+        """Add a crash record if the endpoint is down, and announce it."""
         if await self._is_running(name):
             return
         if self._node.crashes.add(digest, name, strong=strong):
             _log.warning(
-                "an endpoint went down under this request",
+                "an endpoint went down while serving this request",
                 request=request_id,
                 endpoint=name,
                 digest=digest,
             )
-        # Without telling first, the caller's copy at another entry would
-        # find an endpoint before the mark does.
+        # Announced before the retry; otherwise the caller's copy at another
+        # entry could reach an endpoint before the crash record does.
         with anyio.move_on_after(clock.seconds(ANNOUNCE_TIMEOUT_MS)):
             await self._node.gossip.announce()
         await anyio.sleep(clock.seconds(PROPAGATION_MS))
 
     async def _is_running(self, name):
-        """Tell whether the endpoint still runs, as the same process.
+        """Return whether the endpoint still runs as the same process.
 
-        A process that is just dying may still accept the probe and then
-        break it off, which proves nothing: it is probed again.
+        A process that is exiting may accept the probe and then close the
+        connection, which is inconclusive: it is probed again.
         """
         for _ in range(MAX_PROBES):
             answer = await self._probe(name)
@@ -110,7 +111,7 @@
         return True
 
     async def _probe(self, name):
-        """Return whether the endpoint runs, ``None`` if that is unclear."""
+        """Return whether the endpoint runs, ``None`` if inconclusive."""
         endpoint = self._loads.endpoint(name)
         if endpoint is None:
             return True
--- a/clementinewall/entry/loads.py
+++ b/clementinewall/entry/loads.py
@@ -1,9 +1,10 @@
-"""What this entry believes of the endpoints' load and health.
+"""This entry's view of the load and health of the endpoints.
 
 The entry polls the load reports of a bounded subset of the endpoints and
-adds what it sent since the last report.  As other entries send too, its own
-count is scaled by its part of the arrivals that the last report showed.
-Endpoints that fail are left out for a while, but never all of a model.
+adds the work that it sent since the last report.  As other entries send work
+too, its own count is scaled by its fraction of the arrivals in the last
+report.  Failing endpoints are excluded for a while, but never all endpoints
+of a model.
 """
 
 import collections
@@ -38,7 +39,7 @@
 
 
 class _Index(typing.NamedTuple):
-    """Ids by ``(kind, name)`` of what is served, in one version."""
+    """Endpoint ids by ``(kind, name)`` for one configuration version."""
 
     view: typing.Any
     serving: dict
@@ -47,10 +48,10 @@
 
 
 class Loads:
-    """The table of endpoints as this entry sees them."""
+    """The load and health of each endpoint, as this entry knows it."""
 
     def __init__(self, node):
-        """Read the configuration in force and the clock of ``node``."""
+        """Use the active configuration and the clock of ``node``."""
         self._node = node
         self._polls = node.settings.polls
         self._tracker_by_id = collections.defaultdict(load_tracking.Tracker)
@@ -59,14 +60,14 @@
         self._http = _http.client(POLL_TIMEOUT_MS)
 
     async def run(self):
-        """Poll the reports for ever."""
+        """Poll load reports until cancelled."""
         while True:
-            wanted = self._due_for_poll()
+            due_ids = self._due_for_poll()
             for name in list(self._tracker_by_id):
                 if name not in self._node.view.endpoints_by_id:
                     del self._tracker_by_id[name]
             async with anyio.create_task_group() as group:
-                for name in wanted:
+                for name in due_ids:
                     group.start_soon(self._poll, name)
             jitter = random.uniform(0.8, 1.2)
             await anyio.sleep(clock.seconds(self._polls.load_ms) * jitter)
@@ -81,23 +82,23 @@
         return self._index().serving.get((kind, name), [])
 
     def is_known(self, kind, name):
-        """Tell whether any endpoint serves or served ``name``."""
+        """Return whether any endpoint lists ``name``, in any state."""
         return (kind, name) in self._index().known
 
     def usable(self, kind, name, excluded=()):
-        """Return the ids to choose from now."""
+        """Return the ids of endpoints that may be chosen now."""
         ids = [i for i in self.serving(kind, name) if i not in excluded]
         ids = [i for i in ids if not self._is_paused(i)]
         now = self._node.clock.now()
         healthy = [
             i for i in ids if self._tracker_by_id[i].health.is_usable(now)
         ]
-        # If every endpoint of a model looks ill, the fault is likelier on
-        # this side: leaving them all out would refuse work for nothing.
+        # If every endpoint of a model appears unhealthy, the fault is more
+        # likely on this side; excluding them all would refuse work needlessly.
         return healthy or ids
 
     def candidates(self, model, prompt, excluded=()):
-        """Return the engines to choose from as the policy sees them."""
+        """Return the engines to choose from, as routing candidates."""
         preferred = self.preferred("engine", model, prompt)
         subset = self._index().subset.get(("engine", model), [])
         ids = self.usable("engine", model, excluded)
@@ -110,25 +111,26 @@
         return [self._candidate(name, cached) for name in ids]
 
     def preference_order(self, kind, name, text):
-        """Return the endpoints in the order that equal texts find.
+        """Return the endpoints in the order in which to prefer them.
 
-        The order comes from the published configuration, on which all
-        entries agree, and from the first part of the text only, so that
-        prompts with a common beginning share the caches.
+        The order depends on the published configuration, which all entries
+        share, and on the first ``AFFINITY_CHARS`` characters of the text
+        only, so that prompts with a common prefix share a cache.
         """
         key = f"{name}|{text[:AFFINITY_CHARS]}"
         return members.rendezvous(key, self.serving(kind, name))
 
     def preferred(self, kind, name, text):
-        """Return the endpoints that equal texts find at every entry."""
+        """Return the endpoints that every entry prefers for the text."""
         return tuple(
             self.preference_order(kind, name, text)[:PREFERRED_ENDPOINTS]
         )
 
     def least_busy(self, service, digest, excluded=()):
-        """Return the service endpoint with the least open calls.
+        """Return the service endpoint with the fewest open calls.
 
-        Those that equal calls prefer go first unless they are much busier.
+        Others count ``PREFERRED_EXTRA_CALLS`` more open calls than those
+        that equal calls prefer.  ``None`` if no endpoint is usable.
         """
         ids = self.usable("service", service, excluded)
         if not ids:
@@ -143,17 +145,21 @@
         return min(order, key=rank)
 
     def endpoint(self, endpoint_id):
-        """Return the endpoint's published row, or ``None``."""
+        """Return the endpoint's row in the configuration, or ``None``."""
         return self._node.view.endpoints_by_id.get(endpoint_id)
 
     def apply_report_header(self, endpoint_id, text):
-        """Take in the report that came along with an answer, if any."""
+        """Apply the load report in the header of an answer, if any."""
         if text is None:
             return
         try:
             report = reports.decode(json.loads(text))
         except (ValueError, errors.BadRecord) as exc:
-            _log.debug("a garbled header", endpoint=endpoint_id, why=exc)
+            _log.debug(
+                "malformed load report in a header; ignored",
+                endpoint=endpoint_id,
+                why=exc,
+            )
             return
         self._tracker_by_id[endpoint_id].apply_report(
             report, self._node.clock.now()
@@ -164,28 +170,30 @@
         return self._tracker_by_id[endpoint_id].report
 
     def record_sent(self, endpoint_id, tokens):
-        """Count work that goes to the endpoint now."""
+        """Count a request that is sent to the endpoint."""
         self._tracker_by_id[endpoint_id].sent(tokens)
 
     def record_end(self, endpoint_id):
-        """Count the end of one such work."""
+        """Count the end of a request at the endpoint."""
         self._tracker_by_id[endpoint_id].ended()
 
     def record_answer(self, endpoint_id, gap_ms=None):
-        """Note an answer, with the time seen between its tokens."""
+        """Record an answer, with the time between its tokens in ms."""
         self._tracker_by_id[endpoint_id].record_answer(gap_ms)
 
     def record_failure(self, endpoint_id):
-        """Note a failure; several in a row leave the endpoint out."""
+        """Record a failure; several in a row exclude the endpoint."""
         now = self._node.clock.now()
         paused_ms = self._tracker_by_id[endpoint_id].health.record_failure(now)
         if paused_ms:
             _log.warning(
-                "an endpoint is left out", endpoint=endpoint_id, ms=paused_ms
+                "endpoint excluded after repeated failures",
+                endpoint=endpoint_id,
+                ms=paused_ms,
             )
 
     def record_prefixes(self, endpoint_id, prompt):
-        """Note that the engine now caches the prompt's prefixes."""
+        """Record that the engine now caches the prompt's prefixes."""
         for digest, _ in _prefixes(prompt):
             self._endpoint_by_prefix[digest] = endpoint_id
             self._endpoint_by_prefix.move_to_end(digest)
@@ -193,7 +201,7 @@
             self._endpoint_by_prefix.popitem(last=False)
 
     def _cached_tokens(self, prompt):
-        """Return the cached tokens by engine, as far as it is known."""
+        """Return the known number of cached prefix tokens by engine id."""
         cached = {}
         for digest, chars in _prefixes(prompt):
             engine = self._endpoint_by_prefix.get(digest)
@@ -202,10 +210,10 @@
         return cached
 
     def _index(self):
-        """Return the tables drawn from the configuration in force.
+        """Return the index of the active configuration.
 
-        They are made anew when its version changes, not for each request:
-        a pass over a large fleet takes longer than the whole choice.
+        It is rebuilt when the configuration changes, not for each request:
+        a pass over a large fleet takes longer than choosing an endpoint.
         """
         view = self._node.view
         if self._cached_index is None or self._cached_index.view is not view:
@@ -251,15 +259,15 @@
     def _due_for_poll(self):
         """Return the endpoints of the subsets whose report is old.
 
-        Answers bring reports along, so under load few are left to poll.
+        Answers carry load reports too, so under load few need a poll.
         """
         limit = self._node.clock.now() - self._polls.load_ms / 2
-        wanted = set()
+        due_ids = set()
         for ids in self._index().subset.values():
-            wanted.update(ids)
+            due_ids.update(ids)
         return [
             name
-            for name in wanted
+            for name in due_ids
             if self._tracker_by_id[name].at is None
             or self._tracker_by_id[name].at <= limit
         ]
@@ -273,7 +281,11 @@
                 self._http, endpoint_id, endpoint.address
             )
         except errors.EndpointFailed as exc:
-            _log.debug("no report", endpoint=endpoint_id, why=exc.message)
+            _log.debug(
+                "load report not received",
+                endpoint=endpoint_id,
+                why=exc.message,
+            )
             if exc.verdict is verdicts.Verdict.NOT_RUN:
                 self.record_failure(endpoint_id)
             return
@@ -283,7 +295,7 @@
 
 
 def _prefixes(prompt):
-    """Yield the digest and length of each whole block of the prompt."""
+    """Yield digest and length in characters of each prefix in blocks."""
     state = hashlib.blake2b(digest_size=8)
     last = min(len(prompt), PREFIX_BLOCK_CHARS * MAX_PREFIXES_PER_PROMPT)
     for end in range(PREFIX_BLOCK_CHARS, last + 1, PREFIX_BLOCK_CHARS):
--- a/clementinewall/entry/main.py
+++ b/clementinewall/entry/main.py
@@ -20,10 +20,10 @@
 
 
 def main():
-    """Catch signals, read the command line, load the program and run it."""
+    """Catch signals, parse the command line, then import and run."""
     inbox = signals.catch()
     options = docopt.docopt(__doc__)
-    # Imported only now: a signal that came meanwhile would kill the process.
+    # Imported late: a signal during the import must not kill the process.
     program = importlib.import_module("clementinewall.entry.program")
     program.main(options, inbox)
 
--- a/clementinewall/entry/model_relay.py
+++ b/clementinewall/entry/model_relay.py
@@ -1,8 +1,8 @@
-"""Carrying a model's answer from engines to a caller.
+"""Relays a model's answer from engines to a caller.
 
-The relay chooses an engine, opens the stream, and passes each position on
-once.  When an engine breaks off, or must be left because its withdrawal is
-published, the answer goes on from the last position at another engine.
+The relay chooses an engine, opens the stream, and forwards each position
+once.  If the engine fails, or its withdrawal is published, the answer resumes
+after the last position at another engine.
 """
 
 import collections
@@ -30,31 +30,31 @@
 _log = logs.PartLog("route")
 
 MAX_ATTEMPTS = 4
-# Before the second retry and, twice as long, before the third; the first
-# goes at once, to another engine.
+# Before the second retry, and doubled before the third; the first retry goes
+# to another engine at once.
 BACKOFF_MS = 300
-# A split pays off for long prompts only; below, the extra hop costs more
-# than the prompt work it moves away.
+# For shorter prompts, the extra hop to a prefill engine costs more than the
+# prefill that it takes off the decode engine.
 MIN_SPLIT_TOKENS = 512
 KV_TRANSFER_MS_PER_TOKEN = 0.005
 
 
 class Sink(typing.Protocol):
-    """Where the relay puts the events of one answer."""
+    """Receives the events of one answer from the relay."""
 
     async def send(self, raw, endpoint_id):
-        """Take the bytes of one event."""
+        """Send the bytes of one event to the caller."""
 
 
 class _EngineWithdrawn(Exception):
-    """The engine is leaving; the stream goes on elsewhere."""
+    """The engine is withdrawn; the stream moves to another engine."""
 
 
 class ModelRelay:
-    """Serves model work; one per entry."""
+    """Serves model requests; one per entry."""
 
     def __init__(self, node, loads, shares, guard):
-        """Use the node's configuration, the loads and callers' shares."""
+        """Choose engines by ``loads`` and ``guard``, admit by ``shares``."""
         self._node = node
         self._guard = guard
         self.outcomes = outcomes.Outcomes()
@@ -68,17 +68,17 @@
         )
 
     async def watch(self):
-        """Run the watchdog of all streams for ever."""
+        """Run the watchdog of all streams until cancelled."""
         await self._watchdog.run()
 
     async def run(self, work, sink):
-        """Carry the whole answer to ``sink``.
+        """Relay the whole answer to ``sink``.
 
-        :raises ClementinewallError: with the verdict, when given up.
+        :raises ClementinewallError: the request failed; it has the verdict.
         """
         state = progress.RequestState(work, self._node.clock.now())
         if not self._loads.is_known("engine", work.model):
-            raise errors.UnknownModel(f"no engine serves {work.model!r}")
+            raise errors.UnknownModel(f"no engine serves model {work.model!r}")
         self._budget_by_class[work.context.class_name].earn()
         deadline_ms = work.context.work_class.deadline_ms
         try:
@@ -92,7 +92,8 @@
                 await self._run_attempts(state, sink)
         except TimeoutError as exc:
             raise errors.DeadlineExceeded(
-                f"no whole answer in {deadline_ms} ms", state.verdict
+                f"the answer was not complete within {deadline_ms} ms",
+                state.verdict,
             ) from exc
 
     async def _run_attempts(self, state, sink):
@@ -102,7 +103,7 @@
                 await self._attempt(state, plan, sink)
             except _EngineWithdrawn:
                 _log.info(
-                    "moving a stream from an engine that leaves",
+                    "engine withdrawn; moving its stream to another engine",
                     request=state.work.context.request_id,
                     endpoint=plan.decode.id,
                     position=state.sequence.delivered,
@@ -112,7 +113,7 @@
                 await self._after_failure(state, exc)
 
     def _plan(self, state):
-        """Return where the answer shall come from next."""
+        """Return the engines for the next attempt."""
         work = state.work
         self._guard.check(work.digest, state.verdict)
         only = self._guard.remaining_endpoint(
@@ -130,8 +131,8 @@
         )
         if not candidates and state.failed_ids:
             # Every engine failed this request once.  A broken connection
-            # says little about the engine behind it, so those that are
-            # still up get another turn; the attempts are bounded anyway.
+            # says little about the engine behind it, so the usable ones are
+            # tried again; the number of attempts is bounded.
             state.failed_ids.clear()
             candidates = self._loads.candidates(work.model, work.prompt)
         routing_work = progress.routing_work(work)
@@ -144,7 +145,7 @@
         )
         if choice is None:
             raise errors.NoEndpoint(
-                f"no engine for {work.model!r} is in reach",
+                f"no engine for model {work.model!r} is available",
                 state.verdict,
                 retry_after_ms=1_000,
             )
@@ -203,7 +204,9 @@
         except httpx.HTTPError as exc:
             raise attempt.failure(name, exc) from exc
         except TimeoutError as exc:
-            raise errors.EndpointFailed(f"{name}: silent too long") from exc
+            raise errors.EndpointFailed(
+                f"{name}: no event within the silence timeout"
+            ) from exc
         finally:
             self._loads.record_end(name)
 
@@ -213,7 +216,7 @@
         try:
             if attempt.is_refusal(answer):
                 raise errors.EndpointFailed(
-                    f"{name}: refused", verdicts.Verdict.NOT_RUN
+                    f"{name}: refused the request", verdicts.Verdict.NOT_RUN
                 )
             if answer.status_code != 200:
                 await self._raise_for_status(name, answer)
@@ -229,11 +232,15 @@
         with self._watchdog.watch() as watch:
             await self._relay_watched(state, name, answer, sink, watch)
         if watch.expired == watchdog.CALLER:
-            raise errors.CallerTooSlow("the caller reads too slowly")
+            raise errors.CallerTooSlow(
+                "the caller reads the answer too slowly"
+            )
         if watch.expired == watchdog.ENGINE:
-            # An engine that is stuck keeps its connection open and says
-            # nothing; unwatched, its streams would end at the deadline.
-            raise errors.EndpointFailed(f"{name}: silent too long")
+            # A stuck engine keeps its connection open and sends nothing;
+            # without a watchdog its streams would last until the deadline.
+            raise errors.EndpointFailed(
+                f"{name}: no event within the silence timeout"
+            )
 
     async def _relay_watched(self, state, name, answer, sink, watch):
         splitter = sse.Splitter()
@@ -250,7 +257,8 @@
             self._check_withdrawn(state, name)
             watch.wait_for(watchdog.ENGINE, state.silence_timeout_ms())
         raise errors.StreamCut(
-            f"{name}: ended after position {state.sequence.delivered}"
+            f"{name}: stream ended early, after position "
+            f"{state.sequence.delivered}"
         )
 
     async def _forward_event(self, state, name, event, sink):
@@ -300,10 +308,10 @@
                 f"{name} answered {answer.status_code}: {answer.text[:200]}",
                 verdicts.Verdict.RAN,
             )
-        raise errors.EndpointFailed(f"{name}: {answer.status_code}")
+        raise errors.EndpointFailed(f"{name}: answered {answer.status_code}")
 
     async def _prefill(self, state, prefill_id, headers):
-        """Have the prompt worked off at another engine, if that works."""
+        """Prefill at ``prefill_id``; add the cache handle to ``headers``."""
         state.engine_id = prefill_id
         endpoint = self._endpoint(prefill_id)
         self._loads.record_sent(prefill_id, progress.prompt_tokens(state.work))
@@ -320,7 +328,7 @@
             handle = answer.json()["handle"]
         except (ValueError, KeyError, TypeError) as exc:
             raise errors.EndpointFailed(
-                f"{prefill_id}: no handle in the answer"
+                f"{prefill_id}: prefill answered without a handle"
             ) from exc
         finally:
             self._loads.record_end(prefill_id)
@@ -330,7 +338,8 @@
         endpoint = self._loads.endpoint(name)
         if endpoint is None:
             raise errors.EndpointFailed(
-                f"{name} is gone", verdicts.Verdict.NOT_RUN
+                f"{name}: removed from the configuration",
+                verdicts.Verdict.NOT_RUN,
             )
         return endpoint
 
@@ -348,7 +357,7 @@
         return headers
 
     async def _after_failure(self, state, exc):
-        """Prepare the next attempt, or raise the final answer."""
+        """Prepare the next attempt, or raise the final error."""
         name = state.engine_id
         if isinstance(exc, (errors.NotRunError, errors.CallerTooSlow)):
             raise exc
@@ -365,7 +374,7 @@
                 strong=state.attempt_events == 0,
             )
         _log.warning(
-            "an engine broke off",
+            "attempt at an engine failed",
             request=state.work.context.request_id,
             endpoint=name,
             position=state.sequence.delivered,
--- a/clementinewall/entry/partition.py
+++ b/clementinewall/entry/partition.py
@@ -1,8 +1,8 @@
 """One partition of the bookings: its stream, table and commits.
 
-A task follows the stream, another commits what waits, all of it in one
-record: while an append is under way the next ones gather, so the number of
-appends does not grow with the number of calls.
+One task follows the stream; another commits all pending intents and outcomes
+in one record.  More gather while an append is in progress, so the number of
+appends doesn't grow with the number of calls.
 """
 
 import collections
@@ -17,22 +17,22 @@
 
 _log = logs.PartLog("booking")
 
-# A quiet partition is asked for news this often at least.
+# Longest wait of one long-poll read of the stream.
 READ_WAIT_MS = 5_000
 RETRY_DELAY_MS = 200
 READ_BACK_TIMEOUT_MS = 3_000
 MAX_BATCH = 200
 MAX_PENDING_OUTCOMES = 10_000
-# The least time between two appends of one partition.  It bounds the load
-# on the log.
+# Minimum time between two appends of one partition; bounds the load on the
+# log.
 APPEND_INTERVAL_MS = 100
 
 
 class Partition:
-    """Follows and extends one bookings stream."""
+    """Follows and appends to one bookings stream."""
 
     def __init__(self, number, node):
-        """Prepare the partition ``number``; ``run`` starts it."""
+        """Create the partition ``number``; :meth:`run` starts it."""
         self._stream = bookings.stream_name(number)
         self._node = node
         self._intents = collections.deque()
@@ -41,66 +41,67 @@
         self._changed = anyio.Event()
         self.table = bookings.Table(node.settings.limits.remembered_keys)
         self.caught_up = False
-        self.failed = None
+        self.read_error = None
         self._committing = False
 
     async def run(self):
-        """Follow and commit for ever."""
+        """Follow the stream and commit until cancelled."""
         async with anyio.create_task_group() as group:
             group.start_soon(self._follow)
             group.start_soon(self._commit)
 
     def booking(self, key):
-        """Return what is remembered of the key, or ``None``."""
+        """Return the booking of the key, or ``None``."""
         return self.table.booking_by_key.get(key)
 
     async def wait_ready(self, timeout_ms):
-        """Wait until the whole stream is read.
+        """Wait until the stream has been read to its end.
 
-        :raises LogUnavailable: it cannot be read in time.
+        :raises LogUnavailable: it cannot be read within ``timeout_ms``.
         """
-        end = self._node.clock.now() + timeout_ms
+        deadline = self._node.clock.now() + timeout_ms
         while not self.caught_up:
-            left = end - self._node.clock.now()
-            # Waiting on while the log is known to be out of reach would
-            # hold the final answer back until the deadline.
-            if left <= 0 or self.failed is not None:
+            remaining_ms = deadline - self._node.clock.now()
+            # Waiting while the log is known to be unreachable would delay the
+            # final answer until the deadline.
+            if remaining_ms <= 0 or self.read_error is not None:
                 raise errors.LogUnavailable(
-                    "the bookings cannot be read", retry_after_ms=1_000
+                    "the bookings cannot be read from the log",
+                    retry_after_ms=1_000,
                 )
-            await self.wait_change(left)
+            await self.wait_change(remaining_ms)
 
     async def wait_change(self, timeout_ms):
-        """Wait for the next record, or until the time has passed."""
+        """Wait at most ``timeout_ms`` for a read or a failed append."""
         changed = self._changed
         with anyio.move_on_after(clock.seconds(timeout_ms)):
             await changed.wait()
 
     async def announce(self, intent):
-        """Commit the intent; return what the log then holds of its key.
+        """Commit the intent; return the booking that the log has for its key.
 
-        :raises LogUnavailable: the intent is given up and never acted on.
+        :raises LogUnavailable: the intent is abandoned, never dispatched.
         """
         item = _PendingIntent(intent)
         self._intents.append(item)
         self._has_pending.set()
-        end = self._node.clock.now() + READ_BACK_TIMEOUT_MS
+        deadline = self._node.clock.now() + READ_BACK_TIMEOUT_MS
         while True:
             booking = self.booking(intent.key)
             if booking is not None and booking.state != "not_run":
                 return booking
-            left = end - self._node.clock.now()
-            if left <= 0 or item.refused:
+            remaining_ms = deadline - self._node.clock.now()
+            if remaining_ms <= 0 or item.refused:
                 raise self._give_up(item)
-            await self.wait_change(left)
+            await self.wait_change(remaining_ms)
 
     def record_outcome(self, outcome):
-        """Commit the outcome of an intent of ours when the log allows."""
+        """Commit the outcome of an own intent once the log is available."""
         self._outcomes.append(outcome)
         self._has_pending.set()
 
     async def flush(self):
-        """Wait until the outcomes are committed, but not for long."""
+        """Wait up to ``READ_BACK_TIMEOUT_MS`` for pending outcomes."""
         with anyio.move_on_after(clock.seconds(READ_BACK_TIMEOUT_MS)):
             while self._outcomes or self._committing:
                 await anyio.sleep(clock.seconds(APPEND_INTERVAL_MS))
@@ -108,9 +109,9 @@
     def _give_up(self, item):
         """Abandon an intent that may or may not be in the log.
 
-        From here on this process never dispatches it, and nobody else may,
-        so "not run" is true.  If it did reach the log, the outcome that is
-        committed once the log is back frees the key for a resend.
+        This process never dispatches it from here on, and no other process
+        may, so "not run" is true.  If it did reach the log, an outcome that
+        is committed once the log is available frees the key for a resend.
         """
         intent = item.intent
         item.abandoned = True
@@ -119,7 +120,8 @@
                 bookings.Outcome(intent.id, intent.key, "not_run")
             )
         return errors.LogUnavailable(
-            "the log did not take the booking", retry_after_ms=1_000
+            "the log did not accept the booking; it was not run",
+            retry_after_ms=1_000,
         )
 
     async def _follow(self):
@@ -130,11 +132,11 @@
                     self._stream, self.table.next, wait_ms
                 )
             except errors.ClementinewallError as exc:
-                self.failed = exc
+                self.read_error = exc
                 self._notify_changed()
                 await anyio.sleep(clock.seconds(RETRY_DELAY_MS))
                 continue
-            self.failed = None
+            self.read_error = None
             self.table.begin(batch.first)
             for offset, record in batch.records:
                 self.table.apply(offset, record)
@@ -178,21 +180,24 @@
             self._requeue(outcomes)
             await anyio.sleep(clock.seconds(RETRY_DELAY_MS))
         except errors.AppendUnknown:
-            # Outcomes may be appended twice without harm: only the first
-            # one that ends an open intent counts.
+            # Appending an outcome twice is harmless: only the first one for
+            # an open intent counts.
             self._requeue(outcomes)
             await anyio.sleep(clock.seconds(RETRY_DELAY_MS))
         finally:
             self._committing = False
-        if outcomes and self.failed is not None:
-            _log.warning("outcomes wait for the log", count=len(outcomes))
+        if outcomes and self.read_error is not None:
+            _log.warning(
+                "log unreachable; outcomes may not be committed yet",
+                count=len(outcomes),
+            )
 
     def _requeue(self, outcomes):
         self._outcomes.extendleft(reversed(outcomes))
 
 
 class _PendingIntent:
-    """An intent on its way into the log."""
+    """An intent that waits to be committed."""
 
     def __init__(self, intent):
         self.intent = intent
--- a/clementinewall/entry/program.py
+++ b/clementinewall/entry/program.py
@@ -1,4 +1,4 @@
-"""The entry process: its tasks, its listeners and its end."""
+"""The entry process: its tasks, listeners and shutdown."""
 
 import anyio
 from starlette import responses
@@ -28,7 +28,7 @@
     """The entry program."""
 
     def __init__(self, life):
-        """Take the life cycle of the process."""
+        """Build the parts; ``life`` is the life cycle of the process."""
         self.node = node.Node(life, "entry")
         self.loads = loads.Loads(self.node)
         guard = crash_guard.CrashGuard(self.node, self.loads)
@@ -43,7 +43,7 @@
         self._owned_bookings = 0
 
     async def run(self):
-        """Serve until asked to stop and drained."""
+        """Serve until stopped, then drain; return the final event."""
         listen = self.node.settings.listen
         control = _web.application(
             [
@@ -67,31 +67,36 @@
             _log.info("started", callers=listen.callers, boot=self.node.boot)
             self.node.life.note(lifecycle.Event.STARTED)
             await self.node.stopping.wait()
-            end = await self._drain()
+            event = await self._drain()
             closed.set()
             await anyio.sleep(clock.seconds(DRAIN_POLL_MS) * 2)
             group.cancel_scope.cancel()
-        return end
+        return event
 
     async def _drain(self):
-        """Leave the callers' answers, then wait for what is open.
+        """Announce the drain, then wait for the open requests.
 
         Return the event that ends the process.
         """
         limits = self.node.settings.limits
-        end = self.node.drain_end = self.node.clock.now() + limits.drain_ms
+        deadline = self.node.drain_end = (
+            self.node.clock.now() + limits.drain_ms
+        )
         await self.node.leave()
-        # Callers kept the answer that names this entry for so long, and
-        # still come with new work in good faith.
+        # Callers may keep an answer of /v1/addresses that names this entry
+        # for this long, and still send new requests.
         await anyio.sleep(clock.seconds(limits.keep_addresses_ms))
         while self.callers.open_requests or self._owned_bookings:
-            if self.node.clock.now() > end:
-                _log.warning("cut at the end", open=self.callers.open_requests)
+            if self.node.clock.now() > deadline:
+                _log.warning(
+                    "drain timed out; cutting open requests",
+                    open=self.callers.open_requests,
+                )
                 return lifecycle.Event.OUT_OF_TIME
             await anyio.sleep(clock.seconds(DRAIN_POLL_MS))
-        # What is read from now on would be cut by the end of the process.
+        # A request read from now on would be cut when the process ends.
         self.node.drain_end = self.node.clock.now()
-        # Outcomes of bookings that were answered a moment ago.
+        # Bookings answered just now may have outcomes yet to be committed.
         await self.calls.flush()
         _log.info("drained")
         return lifecycle.Event.DRAINED
@@ -108,7 +113,7 @@
         if mistakes:
             raise errors.BadRecord(str(mistakes[0]))
         if not self.node.is_ready():
-            raise errors.NotReady("no configuration is known yet")
+            raise errors.NotReady("no configuration has been received yet")
         self.node.check_time(call.deadline_ms)
         self._owned_bookings += 1
         try:
@@ -124,7 +129,7 @@
 
 
 def main(options, inbox):
-    """Read the settings and run, or only check them."""
+    """Load the settings and run, or only check them."""
     node.run_with_settings(options, inbox, _needs_callers, run)
 
 
--- a/clementinewall/entry/progress.py
+++ b/clementinewall/entry/progress.py
@@ -1,8 +1,8 @@
-"""The state of one model request while it is carried.
+"""The state of one model request while its answer is relayed.
 
-A run outlives the attempts at single engines: it knows which positions the
-caller has, which engines failed, and what another engine must be told to go
-on from there.
+It outlives the attempts at single engines: it records which positions the
+caller has received, which engines failed, and what another engine needs to
+resume the answer.
 """
 
 import json
@@ -13,24 +13,25 @@
 from clementinewall import verdicts
 
 CHARS_PER_TOKEN = 4
-# An engine that says nothing for so many times its target is stuck.
+# An engine that sends nothing for this many times its target, plus
+# BASE_SILENCE_MS, is taken to be stuck.
 SILENCE_TARGETS = 8
 BASE_SILENCE_MS = 2_000
 
 
 class RequestState:
-    """One request on its way to its whole answer."""
+    """The progress of one request over all attempts."""
 
     def __init__(self, work, now):
-        """Begin at ``now`` after the position that the caller has."""
+        """Start at ``now`` in ms, after the caller's last position."""
         self.work = work
         self.sequence = sse.Sequence(work.delivered)
         self.started_ms = now
         self.failed_ids = set()
         self.attempts = 0
-        # The engine that the present attempt talks to.
+        # The engine of the current attempt.
         self.engine_id = None
-        # Events passed on from the engine of the present attempt.
+        # Events forwarded from the engine of the current attempt.
         self.attempt_events = 0
         self.first_ms = None
         self.gap_ms = None
@@ -39,13 +40,13 @@
         self._resume_bytes = 0
 
     def keep_for_resume(self, event, limit):
-        """Keep an event for a resumption elsewhere, up to ``limit`` bytes."""
+        """Store an event for resuming elsewhere, up to ``limit`` bytes."""
         if self._resume_bytes + len(event.raw) <= limit:
             self._resume_events.append(event)
             self._resume_bytes += len(event.raw)
 
     def body(self):
-        """Return the body for an engine, unchanged where that is possible."""
+        """Return the request body for an engine, unchanged if possible."""
         work = self.work
         if work.streamed and not self._resume_events:
             return work.raw
@@ -58,14 +59,14 @@
         return json.dumps(body).encode()
 
     def silence_timeout_ms(self):
-        """Return how long the engine may say nothing before it is left."""
+        """Return how many ms the engine may send nothing."""
         work_class = self.work.context.work_class
         if self.attempt_events == 0:
             return SILENCE_TARGETS * work_class.first_ms + BASE_SILENCE_MS
         return SILENCE_TARGETS * work_class.gap_ms + BASE_SILENCE_MS
 
     def is_good(self):
-        """Tell whether the answer met its class's targets."""
+        """Return whether the answer met the targets of its class."""
         work_class = self.work.context.work_class
         return (
             self.sequence.finished
@@ -76,7 +77,7 @@
 
 
 def routing_work(work):
-    """Return the work as the routing policy sees it."""
+    """Return the request as input of the routing policy."""
     work_class = work.context.work_class
     return routing.Work(
         prompt_tokens(work), work_class.first_ms, work_class.gap_ms
@@ -84,12 +85,12 @@
 
 
 def prompt_tokens(work):
-    """Return the estimated tokens of the prompt."""
+    """Return the estimated number of tokens in the prompt."""
     return max(1, len(work.prompt) // CHARS_PER_TOKEN)
 
 
 def total_tokens(work):
-    """Return the estimated tokens of prompt and answer together."""
+    """Return the estimated number of tokens in prompt and answer."""
     limit = work.body.get("max_tokens", request_parsing.DEFAULT_MAX_TOKENS)
     return prompt_tokens(work) + int(limit)
 
@@ -97,8 +98,8 @@
 def text_of(event):
     """Return the text that an event adds to the answer.
 
-    An event without a choice adds nothing; ``None`` stands for one that
-    cannot be read, which must not pass for an empty one.
+    An event without a choice adds an empty text.  ``None`` stands for an
+    event that cannot be parsed, which must not be taken for an empty one.
     """
     if event.is_last:
         return ""
--- a/clementinewall/entry/request_parsing.py
+++ b/clementinewall/entry/request_parsing.py
@@ -1,7 +1,7 @@
-"""Reading a caller's request into typed work.
+"""Parses callers' requests into typed values.
 
-Nothing here waits or sends; a request that cannot be read is refused with
-what is wrong with it, before anything has run.
+Nothing here waits or sends; an invalid request is refused, with what is wrong
+with it, before anything has run.
 """
 
 import hashlib
@@ -24,7 +24,7 @@
 
 
 class RequestContext(typing.NamedTuple):
-    """Who asks for what class of work, under which id."""
+    """The id, caller and class of a request."""
 
     request_id: str
     caller: str
@@ -34,7 +34,7 @@
 
 
 class ModelWork(typing.NamedTuple):
-    """A request for a model's answer."""
+    """A model request; ``delivered`` is the caller's last position."""
 
     context: RequestContext
     path: str
@@ -49,7 +49,7 @@
 
 
 def read_context(request, view, kind):
-    """Return the class and caller of the request.
+    """Return the :class:`RequestContext` of the request.
 
     :raises UnknownClass: the class is not published.
     """
@@ -66,13 +66,15 @@
 
 
 def read_model_work(request, context, body, raw):
-    """Return the model work that the body asks for.
+    """Return the :class:`ModelWork` for the body.
 
     :raises BadRequest: a member is missing or has the wrong type.
     """
     model = body.get("model")
     if not isinstance(model, str) or not model:
-        raise errors.BadRequest("model: found nothing, allowed is a name")
+        raise errors.BadRequest(
+            "model: missing, empty or not text, allowed is a name"
+        )
     limit = body.get("max_tokens", DEFAULT_MAX_TOKENS)
     if not isinstance(limit, int) or not 1 <= limit <= MAX_TOKENS:
         raise errors.BadRequest(
@@ -99,7 +101,7 @@
 def read_key(request):
     """Return the caller's idempotency key, or ``None``.
 
-    :raises BadRequest: it is too long.
+    :raises BadRequest: it is longer than ``MAX_ID_CHARS``.
     """
     key = request.headers.get(KEY_HEADER)
     if key is not None and len(key) > MAX_ID_CHARS:
@@ -114,7 +116,7 @@
     if name is not None:
         if name not in named:
             raise errors.UnknownClass(
-                f"{name!r} is not one of: {', '.join(sorted(named))}"
+                f"class {name!r} is not one of: {', '.join(sorted(named))}"
             )
         return name, named[name]
     for default, work_class in sorted(named.items()):
@@ -132,8 +134,8 @@
         return given[:MAX_ID_CHARS]
     secret = request.headers.get("authorization")
     if secret:
-        # The bearer token is the caller's secret, so only a digest of it
-        # is kept and logged.
+        # The bearer token is a secret, so only its digest is stored and
+        # logged.
         return hashlib.blake2b(secret.encode(), digest_size=6).hexdigest()
     return request.client.host if request.client else "unknown"
 
--- a/clementinewall/entry/shares.py
+++ b/clementinewall/entry/shares.py
@@ -1,7 +1,8 @@
-"""The callers' parts of the recent work at this entry.
+"""Each caller's share of the recent work at this entry.
 
-Counts decay, so that a caller who floods is forgiven soon after.  The table
-is bounded; on overflow the smallest count goes, whose share was nearly none.
+Counts decay, so that a flood stops counting against its caller soon after.
+The table is bounded; on overflow the smallest count is dropped, whose share
+was close to zero.
 """
 
 import math
@@ -12,16 +13,16 @@
 
 
 class Shares:
-    """Decaying counts of tokens by caller."""
+    """Exponentially decaying token counts by caller."""
 
     def __init__(self, now):
-        """Start empty; ``now`` gives milliseconds."""
+        """Start empty; ``now`` returns the time in ms."""
         self._now = now
         self._decayed_at = now()
         self._tokens_by_caller = {}
 
     def add(self, caller, tokens):
-        """Count admitted work."""
+        """Count ``tokens`` of admitted work."""
         self._decay()
         known = self._tokens_by_caller
         known[caller] = known.get(caller, 0.0) + tokens
@@ -29,7 +30,7 @@
             del known[min(known, key=known.get)]
 
     def share(self, caller):
-        """Return the caller's share and the number of callers."""
+        """Return the caller's share, 0 to 1, and the number of callers."""
         self._decay()
         total = sum(self._tokens_by_caller.values())
         count = len(self._tokens_by_caller)
--- a/clementinewall/entry/watchdog.py
+++ b/clementinewall/entry/watchdog.py
@@ -1,8 +1,8 @@
-"""Ending waits that take too long, without a timer for each token.
+"""Cancels waits that take too long, without a timer for each token.
 
 A stream waits twice for each token: for the engine and for the caller.  A
-timeout around each wait was a tenth of the processor time of a stream; here
-a wait costs two assignments, and one task looks at all of them now and then.
+timeout around each wait takes a tenth of the processor time of a stream;
+here a wait costs two assignments, and one task checks all waits periodically.
 """
 
 import contextlib
@@ -17,10 +17,13 @@
 
 
 class Watch:
-    """The present wait of one stream; ``expired`` names what took too long."""
+    """The current wait of one stream.
+
+    ``expired`` is ``ENGINE`` or ``CALLER`` if that wait took too long.
+    """
 
     def __init__(self, now):
-        """Start without a wait."""
+        """Start without a wait; ``now`` returns the time in ms."""
         self.scope = anyio.CancelScope()
         self.expired = None
         self._now = now
@@ -28,12 +31,12 @@
         self._deadline = None
 
     def wait_for(self, awaited, limit_ms):
-        """Note what is waited for from now on, and for how long."""
+        """Start to wait for ``awaited``, for at most ``limit_ms``."""
         self._awaited = awaited
         self._deadline = self._now() + limit_ms
 
     def check(self):
-        """Cancel the stream if its present wait is over its limit."""
+        """Cancel the stream if its current wait exceeds its limit."""
         if self._deadline is not None and self._now() > self._deadline:
             self.expired = self._awaited
             self.scope.cancel()
@@ -43,12 +46,12 @@
     """Watches the streams of one entry."""
 
     def __init__(self, now):
-        """Use ``now`` for milliseconds."""
+        """Start empty; ``now`` returns the time in ms."""
         self._now = now
         self._watches = set()
 
     async def run(self):
-        """Look at all waits for ever."""
+        """Check all waits until cancelled."""
         while True:
             for watch in list(self._watches):
                 watch.check()
@@ -56,7 +59,7 @@
 
     @contextlib.contextmanager
     def watch(self):
-        """Watch the body; afterwards ``expired`` tells whether it was cut."""
+        """Watch the block; ``expired`` then tells whether it was cancelled."""
         watch = Watch(self._now)
         self._watches.add(watch)
         try:
