--- a/clementinewall/lab/__init__.py
+++ b/clementinewall/lab/__init__.py
@@ -1,1 +1,1 @@
-"""A model of the engines in virtual time, to try decisions in seconds."""
+"""A discrete-event simulation of engines, to compare placement policies."""
--- a/clementinewall/lab/deployment.py
+++ b/clementinewall/lab/deployment.py
@@ -1,4 +1,4 @@
-"""What a lab run plays: a deployment and its load, from a TOML file."""
+"""The deployment and the load that a lab run simulates, from TOML."""
 
 import pathlib
 import tomllib
@@ -13,11 +13,12 @@
 
 
 class SharedPart(typing.NamedTuple):
-    """A part at the beginning of prompts that several requests share.
+    """A prompt prefix that several requests share.
 
-    There are ``things`` of them; thing number *n* is asked for in
-    proportion to ``n ** -skew``.  ``spread`` is the deviation of the
-    logarithm of ``tokens``, as in all sizes here.
+    There are ``things`` different prefixes; number *n* is requested in
+    proportion to ``n ** -skew``.  ``tokens`` is their mean size and ``most``
+    their largest.  ``spread`` is the standard deviation of the logarithm of
+    the size, as for all sizes in this file.
     """
 
     tokens: _Positive
@@ -28,7 +29,11 @@
 
 
 class RequestClass(typing.NamedTuple):
-    """A kind of request; ``worth`` in time, ``late_worth`` afterwards."""
+    """A class of requests.
+
+    A request earns ``worth`` if its first event arrives within ``goal_ms``,
+    and ``late_worth`` if it arrives later but within ``deadline_ms``.
+    """
 
     per_s: _Positive
     goal_ms: _Positive
@@ -46,7 +51,7 @@
 
 
 class Burst(typing.NamedTuple):
-    """A time during which a class comes ``factor`` times as often."""
+    """A period in which a class has ``factor`` times its request rate."""
 
     work_class: str
     at_s: typing.Annotated[float, _schema.Range(0.0, 1e6)]
@@ -55,12 +60,14 @@
 
 
 class Engines(typing.NamedTuple):
-    """The engines, with the figures that their operators publish.
-
-    A prompt takes ``prompt_base_ms``, a millisecond for ``tokens_a_ms`` new
-    tokens, ``pairs_ms_a_million`` for the pairs of a new token and each one
-    before it, and a step for each ``piece_tokens``.  A decoding engine reads
-    in smaller pieces and ``decode_slowdown`` times as slowly.
+    """The engines, with the speeds that their operators publish.
+
+    Prefill of a prompt takes ``prompt_base_ms``, plus 1 ms per
+    ``tokens_a_ms`` new tokens, ``pairs_ms_a_million`` per million pairs of a
+    new token and a token before it, and one step per chunk of
+    ``piece_tokens``.  A decode engine prefills in chunks of
+    ``decode_piece_tokens`` and ``decode_slowdown`` times as slowly.
+    ``reading_part`` is the fraction of the engines that prefill.
     """
 
     count: _Count
@@ -81,7 +88,11 @@
 
 
 class Gateways(typing.NamedTuple):
-    """The gateways and the network between them."""
+    """The gateways and the network between them.
+
+    ``lost_part`` is the fraction of the messages between gateways that are
+    lost.
+    """
 
     count: _Count
     one_way_ms: _Positive = 1.4
@@ -91,7 +102,7 @@
 class Deployment(typing.NamedTuple):
     """A deployment with its load.
 
-    ``clump`` requests come at the same moment on the mean.
+    Requests arrive in batches; ``clump`` is the mean size of a batch.
     """
 
     name: str
@@ -105,7 +116,8 @@
 def load(path):
     """Read a deployment file.
 
-    :raises SettingsError: it cannot be read; every mistake is named.
+    :raises SettingsError: the file cannot be read or is invalid; the
+        message names every mistake.
     """
     try:
         data = tomllib.loads(pathlib.Path(path).read_text())
@@ -117,7 +129,7 @@
     mistakes = [str(mistake) for mistake in mistakes]
     if deployment is not None:
         mistakes = [
-            f"bursts: {burst.work_class!r} is no class"
+            f"bursts: {burst.work_class!r} is not one of the classes"
             for burst in deployment.bursts
             if burst.work_class not in deployment.classes
         ]
--- a/clementinewall/lab/engine.py
+++ b/clementinewall/lab/engine.py
@@ -1,13 +1,14 @@
-"""One model engine in virtual time.
+"""A simulated engine in virtual time.
 
-A reading engine reads one prompt to its end, then the most urgent that
-waits.  A decoding engine runs a batch of streams: the more of them, the
-longer each step; a prompt that it reads itself goes between the steps, at
-half speed.  Prefix parts are kept until memory is needed, the least recently
-used go first.  The figures are those of the deployment file; gateways predict
-with their own.
+A prefill engine processes one prompt to its end, then the most urgent one in
+its queue.  A decode engine runs a batch of streams: the larger the batch, the
+longer each step; a prompt that it prefills itself is processed in chunks
+between the steps, ``decode_slowdown`` times as slowly.  Prefix parts stay
+cached until memory is needed; the least recently used are evicted first.
+Durations follow the deployment file; gateways predict with constants of their
+own.
 
-Left out: preemption for want of memory, prompts larger than the memory,
+Not modelled: preemption for lack of memory, prompts larger than the memory,
 holds, pins and backups.
 """
 
@@ -17,17 +18,21 @@
 
 from clementinewall.lab import engine_timing
 
-# Before a move or fetch of memory begins, as operators say.
+# Set-up time of a cache transfer, as operators state it.
 TRANSFER_SETUP_MS = 5.0
-# From the end of reading to the answer of a read-only call.
+# From the end of prefill to the answer of a prefill-only request.
 PREFILL_ANSWER_MS = 3.0
 
 
 class Engine:
-    """One engine; ``loop`` calls back at virtual times."""
+    """One engine, driven by the callbacks of ``loop``."""
 
     def __init__(self, name, row, is_prefill, loop):
-        """Begin idle; ``row`` is :class:`deployment.Engines`."""
+        """Start idle with an empty cache.
+
+        :param row: the :class:`deployment.Engines`.
+        :param is_prefill: whether this is a prefill engine.
+        """
         self.name = name
         self.is_prefill = is_prefill
         self.total_prefill_ms = 0.0
@@ -47,10 +52,10 @@
         self._advanced_at = 0.0
         self._plan_version = 0
 
-    # Reading.
+    # Prefill.
 
     def prefill(self, prompt, urgency, done):
-        """Read a prompt; call ``done()`` when it is read."""
+        """Queue a prompt for prefill; call ``done()`` at its end."""
         item = (urgency, next(self._serial), prompt, done)
         heapq.heappush(self._prefill_queue, item)
         self._start_next_prefill()
@@ -89,7 +94,7 @@
         self._start_next_prefill()
 
     def cached_prefix_tokens(self, prompt):
-        """Return how many leading tokens of the prompt are kept."""
+        """Return how many leading tokens of the prompt are cached."""
         total = 0
         for part in prompt.parts:
             if part.id not in self._cache:
@@ -98,11 +103,11 @@
         return total
 
     def has_cached(self, part_id):
-        """Tell whether a part is kept."""
+        """Tell whether a part is cached."""
         return part_id in self._cache
 
     def cache_prompt(self, prompt):
-        """Keep the parts of a prompt; the least recently used go."""
+        """Cache the parts of a prompt; evict the least recently used."""
         for part in prompt.parts:
             if part.id in self._cache:
                 self._cache.move_to_end(part.id)
@@ -115,7 +120,7 @@
             self._cached_tokens -= tokens
 
     def copy_prefix(self, source, prompt):
-        """Keep what another engine keeps of a prompt's beginning."""
+        """Cache the prefix of a prompt that ``source`` has cached."""
         count = 0
         for part in prompt.parts:
             if not source.has_cached(part.id):
@@ -123,10 +128,10 @@
             count += 1
         self.cache_prompt(prompt._replace(parts=prompt.parts[:count]))
 
-    # Memory that moves.
+    # Cache transfers.
 
     def fetch(self, tokens, done):
-        """Take ``tokens`` of memory from elsewhere, one move at a time."""
+        """Fetch the cache of ``tokens``; transfers run one after another."""
         duration_ms = TRANSFER_SETUP_MS + engine_timing.transfer_ms(
             self._row, tokens
         )
@@ -134,10 +139,10 @@
         self._link_free_at = start + duration_ms
         self._loop.after(start + duration_ms - self._loop.now, done)
 
-    # Streams.
+    # Decode.
 
     def decode(self, prompt, urgency, on_first, on_end):
-        """Run a stream whose prompt has been read or fetched."""
+        """Queue a stream whose prompt has been prefilled or fetched."""
         item = (urgency, next(self._serial), prompt, on_first, on_end)
         heapq.heappush(self._waiting, item)
         self._start_streams()
@@ -160,14 +165,17 @@
         return step_ms + chunk_ms * self._row.decode_slowdown
 
     def _advance(self):
-        """Move all streams to the present."""
+        """Advance all streams to the current time."""
         now = self._loop.now
         if self._running:
             self._steps_done += (now - self._advanced_at) / self._step_ms()
         self._advanced_at = now
 
     def _schedule_next_end(self):
-        """Plan the end of the stream that ends next."""
+        """Schedule the end of the stream that ends next.
+
+        Events scheduled under an earlier plan are ignored.
+        """
         self._plan_version += 1
         if not self._running:
             return
--- a/clementinewall/lab/engine_timing.py
+++ b/clementinewall/lab/engine_timing.py
@@ -1,18 +1,18 @@
-"""How long the lab's engines take, by the figures of a deployment file.
+"""Durations of the simulated engines' work, from a deployment file.
 
-Kept apart from :mod:`clementinewall.policy.engine_time`, with which gateways
-predict: a lab whose engines took what gateways believe couldn't show that they
-believe wrong.  All results are milliseconds, ``row`` is
+This module is separate from :mod:`clementinewall.policy.engine_time`, with
+which gateways predict: if both shared one model, the lab could not show
+errors of the prediction.  All results are milliseconds; ``row`` is
 :class:`clementinewall.lab.deployment.Engines`.
 """
 
-# Memory takes so many times as long to another data centre; engines of the
-# lab are taken to lie in different ones.
+# A cache transfer between data centres takes this many times as long as one
+# within a data centre; the lab assumes that all engines are in different ones.
 REMOTE_TRANSFER_FACTOR = 2.0
 
 
 def prefill_ms(row, tokens, cached):
-    """Return how long an idle reading engine takes for a prompt."""
+    """Return the prefill time of a prompt on an idle prefill engine."""
     pieces = max(0, tokens - cached) / row.piece_tokens
     return (
         row.prompt_base_ms
@@ -22,19 +22,19 @@
 
 
 def decode_engine_prefill_ms(row, tokens, cached, streams):
-    """Return how long an engine that decodes ``streams`` takes to read."""
+    """Return the prefill time on an engine that decodes ``streams``."""
     pieces = max(0, tokens - cached) / row.decode_piece_tokens
     compute_ms = _compute_ms(row, tokens, cached) * row.decode_slowdown
     return row.prompt_base_ms + compute_ms + pieces * step_ms(row, streams)
 
 
 def step_ms(row, streams):
-    """Return how long one step of a batch of ``streams`` takes."""
+    """Return the duration of one step of a batch of ``streams``."""
     return row.step_ms + row.step_ms_a_stream * streams
 
 
 def transfer_ms(row, tokens):
-    """Return how long the memory of a prompt takes to another engine."""
+    """Return how long the cache of ``tokens`` takes to another engine."""
     return (
         REMOTE_TRANSFER_FACTOR
         * tokens
--- a/clementinewall/lab/gateway.py
+++ b/clementinewall/lab/gateway.py
@@ -1,9 +1,9 @@
-"""Gateways in virtual time: the real ones' decisions, without sockets.
+"""Simulated gateways: the production decisions without sockets.
 
-What a gateway knows and decides is the product's own code: its table of
-peers, its cell, its view of the engines' queues and caches, its placing.
-Only the tasks that carry messages and requests are written anew here, for
-virtual time.
+The state and the decisions of a gateway are the production code: the peer
+table, the cell membership, the view of the engines' queues and caches, and
+the placement.  Only the tasks that carry messages and requests are
+reimplemented here, for virtual time.
 """
 
 from clementinewall import domain
@@ -15,17 +15,18 @@
 from clementinewall.gateway import peers
 from clementinewall.gateway import placing
 
-# What a gateway itself takes for a step: a wake-up, parsing and deciding.
+# Time of the gateway process per message: wake-up, parsing and decision.
 PROCESSING_MS = 1.5
 
 
 class Gateway:
-    """What one gateway knows, and how it tells its peers."""
+    """The state of one gateway and its messages to its peers."""
 
     def __init__(self, ip, configuration, endpoint_by_id, deliver, loop):
-        """Know all engines and, after the first messages, the peers.
+        """Start with all engines known and no peers.
 
-        ``network(ip, tell)`` calls ``tell`` with that peer later, or never.
+        ``deliver(ip, receive)`` calls ``receive`` with the gateway at ``ip``
+        after the network delay, or never if the message is lost.
         """
         self.ip = ip
         self._loop = loop
@@ -50,9 +51,9 @@
         self._is_send_scheduled = False
 
     def start(self, ips):
-        """Learn who the others are and begin to tell them.
+        """Register the peers and start sending them state.
 
-        No gateway comes or goes in the lab, so cells are dealt once.
+        No gateway joins or leaves in the lab, so cells are assigned once.
         """
         for ip in ips:
             self.table.register(ip)
@@ -61,7 +62,7 @@
         self._send_to_other_cells(ips)
 
     def _send_to_other_cells(self, ips):
-        """Tell those outside of the cell, all at once, what engines keep."""
+        """Send the cache holders to all gateways of other cells at once."""
         period = peers.REMOTE_INTERVAL_MS * peers.REMOTE_ROUNDS
         rows = self.endpoints.cache_holders.message(period)
         for ip in ips:
@@ -72,7 +73,7 @@
         self._loop.after(period, self._send_to_other_cells, ips)
 
     def cell_ips(self):
-        """Return the peers that share this gateway's engines."""
+        """Return the addresses of the peers in this gateway's cell."""
         return [
             ip
             for ip in self.table.ips
@@ -80,7 +81,7 @@
         ]
 
     def notify(self):
-        """Let the others know of a new prompt as soon as that is due."""
+        """Schedule a send of the changed state after the minimum gap."""
         if not self._is_send_scheduled:
             gap = peers.SEND_GAP_MS_PER_PEER * max(1, len(self.cell_ips()))
             self._is_send_scheduled = True
@@ -123,13 +124,13 @@
             )
 
     def receive(self, ip, state, prefilled):
-        """Take in what a peer of the cell told."""
+        """Apply the state and the prefills that a peer of the cell sent."""
         for endpoint_id, parts in prefilled:
             self.endpoints.apply_peer_prefill(endpoint_id, parts)
         self.table.record_state(ip, state)
 
     def receive_from_other_cell(self, rows):
-        """Take in which engines keep what, from a gateway of another cell."""
+        """Merge the cache holders that a gateway of another cell sent."""
         self.endpoints.cache_holders.merge(rows)
 
 
--- a/clementinewall/lab/load.py
+++ b/clementinewall/lab/load.py
@@ -1,4 +1,4 @@
-"""The requests of a lab run, drawn from a deployment's figures and a seed."""
+"""Random arrivals of a lab run, from a deployment and a seed."""
 
 import itertools
 import math
@@ -9,7 +9,7 @@
 
 
 class Arrival(typing.NamedTuple):
-    """A caller's request for a model."""
+    """A caller's request and when it arrives."""
 
     at_ms: float
     work_class: str
@@ -17,7 +17,7 @@
 
 
 def draw(deployment, seconds, seed):
-    """Return the arrivals of a run in the order of their times."""
+    """Return the arrivals of a run, ordered by time."""
     rng = random.Random(seed)
     serial = itertools.count()
     arrivals = []
@@ -30,7 +30,11 @@
 
 
 def _arrival_times(deployment, name, row, seconds, rng):
-    """Yield the times of a class: a Poisson process of clumps, thinned."""
+    """Yield the arrival times of a class in seconds.
+
+    Batches follow a Poisson process at the rate of the largest burst, which
+    is thinned to the rate in effect.
+    """
     bursts = [b for b in deployment.bursts if b.work_class == name]
     max_factor = math.prod([1.0, *(max(1.0, b.factor) for b in bursts)])
     clumps_per_s = row.per_s * max_factor / deployment.clump
@@ -48,7 +52,7 @@
 
 
 def _clump_size(mean, rng):
-    """Return the size of a clump, geometric with the ``mean``."""
+    """Return the size of a batch, geometric with the ``mean``."""
     size = 1
     while rng.random() > 1 / mean:
         size += 1
@@ -56,7 +60,7 @@
 
 
 class _PromptSource:
-    """Draws the prompts of one class."""
+    """Draws the prompts of one class; shared parts keep their size."""
 
     def __init__(self, name, row, rng, serial):
         self._name = name
@@ -74,7 +78,7 @@
         ]
 
     def draw(self):
-        """Return a prompt: its shared parts and one of its own."""
+        """Return a prompt of shared parts and one unshared part."""
         row = self._row
         parts = [
             self._shared(depth, part) for depth, part in enumerate(row.shared)
@@ -99,7 +103,10 @@
 
 
 def _size(mean, spread, most, rng):
-    """Return a log-normal size with about the ``mean``."""
+    """Return a size of at least 1 from a log-normal distribution.
+
+    ``mean`` is the mean before sizes are cut at ``most``.
+    """
     if not spread:
         return max(1, round(mean))
     log_median = math.log(mean) - spread * spread / 2
--- a/clementinewall/lab/main.py
+++ b/clementinewall/lab/main.py
@@ -1,22 +1,24 @@
-"""Play policies against a model of the engines, side by side.
+"""Compare placement policies on simulated engines.
 
 Usage:
   clementinewall-lab DEPLOYMENT [options] [--policy=POLICY]...
   clementinewall-lab --help
 
 Options:
-  --policy=POLICY  gateway, random or random-split; for other thresholds
-                   NAME:module.CONSTANT=VALUE,... with modules of
-                   clementinewall.policy.  All three by default.
-  --load=X         Multiply the requests of all classes [default: 1.0].
-  --reading=PART   Part of the engines that read, instead of the file's.
-  --seconds=S      Seconds of load [default: 20].
-  --seeds=LIST     Seeds of the load and all chances [default: 1,2,3].
-  --jobs=N         Processes to use [default: 2].
+  --policy=POLICY  gateway, random or random-split; to override constants
+                   of modules of clementinewall.policy, give
+                   NAME:module.CONSTANT=VALUE,...  All three by default.
+  --load=X         Multiply the request rates of all classes [default: 1.0].
+  --reading=PART   Fraction of the engines that prefill, instead of the
+                   deployment file's.
+  --seconds=S      Duration of the load in seconds [default: 20].
+  --seeds=LIST     Random seeds, one run for each [default: 1,2,3].
+  --jobs=N         Worker processes [default: 2].
   --json           Print JSON instead of a table.
-  --plot=FILE      Draw credit and bound as a PNG too (needs matplotlib).
+  --plot=FILE      Also draw credit and bound into a PNG file (needs
+                   matplotlib).
 
-Exit codes: 0 played, 2 bad command line or deployment file.
+Exit codes: 0 completed, 2 bad command line or deployment file.
 """
 
 import multiprocessing
@@ -39,7 +41,7 @@
 
 
 class Job(typing.NamedTuple):
-    """One run to play."""
+    """One run: a deployment, a policy and a seed."""
 
     deployment: deployments.Deployment
     policy: policies.Policy
@@ -48,10 +50,11 @@
 
 
 def play(job):
-    """Play one run and return its :class:`report.Summary`.
+    """Simulate one run and return its :class:`report.Summary`.
 
-    The gateways' code spreads the times at which callers come back by the
-    module's own random numbers, and logs each decision.
+    The gateways' code adds jitter to retry delays from the global random
+    generator, which is seeded here so that runs repeat.  It also logs each
+    decision, so logging is disabled during the run.
     """
     arrivals = load.draw(job.deployment, job.seconds, job.seed)
     random.seed(job.seed)
@@ -65,7 +68,7 @@
 
 
 def play_all(jobs, processes):
-    """Play all runs; return the mean of each policy's by its text."""
+    """Simulate all runs; return each policy's mean summary by its text."""
     with multiprocessing.Pool(processes) as pool:
         found = pool.map(play, jobs, chunksize=1)
     summaries_by_policy = {}
@@ -79,7 +82,7 @@
 def parse_jobs(options):
     """Return the runs that a command line asks for.
 
-    :raises SettingsError: something in it is wrong.
+    :raises SettingsError: an option or the deployment file is invalid.
     """
     deployment = deployments.load(options["DEPLOYMENT"])
     factor = _number(options, "--load")
@@ -121,7 +124,7 @@
 
 
 def main():
-    """Read the command line, play and print."""
+    """Parse the command line, simulate and print the report."""
     options = docopt.docopt(__doc__)
     try:
         jobs = parse_jobs(options)
--- a/clementinewall/lab/policies.py
+++ b/clementinewall/lab/policies.py
@@ -1,8 +1,8 @@
-"""The ways of placing that the lab compares, and changed thresholds.
+"""The placement policies that the lab compares, and their overrides.
 
 A policy is named on the command line as ``NAME`` or as
-``NAME:module.CONSTANT=VALUE,...``, which runs it with other values of named
-constants of :mod:`clementinewall.policy`.
+``NAME:module.CONSTANT=VALUE,...``, which overrides constants of modules of
+:mod:`clementinewall.policy` for the run.
 """
 
 import contextlib
@@ -17,7 +17,7 @@
 
 
 class Policy(typing.NamedTuple):
-    """A policy as it was named."""
+    """A parsed policy: ``overrides`` are (module, constant, value)."""
 
     text: str
     name: str
@@ -27,7 +27,8 @@
 def parse(text):
     """Return the :class:`Policy` that ``text`` names.
 
-    :raises SettingsError: there is no such policy or constant.
+    :raises SettingsError: the policy or a constant does not exist, or a
+        value is not a number.
     """
     name, _, rest = text.partition(":")
     if name not in PLACERS:
@@ -55,7 +56,7 @@
 
 @contextlib.contextmanager
 def overridden_constants(policy):
-    """Run with the constants that the policy names."""
+    """Set the constants that the policy overrides; restore them after."""
     previous = []
     try:
         for module, constant, value in policy.overrides:
@@ -73,7 +74,7 @@
 
 
 def _random_placer(gateway, rng):
-    """Place on a random decoding engine; refuse nothing."""
+    """Prefill and decode on one random decode engine; refuse nothing."""
 
     def place(exchange, _last):
         states = gateway.endpoints.of_service(exchange.service.name)
@@ -83,7 +84,7 @@
 
 
 def _random_split_placer(gateway, rng):
-    """Read and decode on random engines of each stage; refuse nothing."""
+    """Use a random engine of each stage; refuse nothing."""
 
     def place(exchange, _last):
         states = gateway.endpoints.of_service(exchange.service.name)
--- a/clementinewall/lab/report.py
+++ b/clementinewall/lab/report.py
@@ -1,4 +1,4 @@
-"""What a run earned, and what it could have earned at most."""
+"""The credit that a run earned, and an upper bound for it."""
 
 import collections
 import json
@@ -7,17 +7,24 @@
 from clementinewall.lab import engine_timing
 
 
-# A request's worth grows with its size against the mean of its class.
+# The credit of a request grows with the ratio of its prompt size to the mean
+# of its class, linearly up to a maximum.
 BASE_SIZE_FACTOR = 0.3
 SIZE_FACTOR_PER_MEAN = 0.7
 MAX_SIZE_FACTOR = 4.0
-# The largest part of each class is judged by itself, too.
+# The largest requests of each class are also reported separately: a policy
+# that never serves them could still earn a high credit.
 LARGEST_FRACTION = 0.1
 WINDOW_MS = 2_000.0
 
 
 class ClassRow(typing.NamedTuple):
-    """One class: parts of its requests, and credit earned of that owed."""
+    """The result of one class.
+
+    ``asked`` counts its requests; ``in_time``, ``late`` and ``unserved`` are
+    fractions of them.  ``credit`` is the credit earned as a fraction of the
+    full credit, ``largest`` the same of the largest requests.
+    """
 
     asked: int
     in_time: float
@@ -28,12 +35,14 @@
 
 
 class Summary(typing.NamedTuple):
-    """One run: all credits are parts of what was owed.
-
-    ``worst`` is the worst window of 2 s, ``bound`` what no policy can
-    exceed, ``read_again`` the part of the tokens read that another engine
-    kept, ``busy`` the part of the engines' time spent on reading, ``error``
-    the median and the 90th percentile of how wrong predictions were, in ms.
+    """The result of one run; credits are fractions of the full credit.
+
+    The full credit is earned if every request is served in time.  ``worst``
+    is the credit of the worst window of 2 s, ``bound`` the credit that no
+    policy can exceed, ``read_again`` the fraction of the prefilled tokens
+    that another engine had cached, ``busy`` the fraction of the engines'
+    time spent on prefill, ``error`` the median and the 90th percentile of
+    the absolute error of the predicted time to the first event, in ms.
     """
 
     credit: float
@@ -76,7 +85,7 @@
 
 
 class _CreditRules:
-    """What requests are worth, by class and size."""
+    """The credit of requests, by class and size."""
 
     def __init__(self, deployment, arrivals):
         self._classes = deployment.classes
@@ -115,7 +124,7 @@
 
 
 def is_in_time(outcome, row):
-    """Tell whether the first event came within the class's target."""
+    """Tell whether the first event arrived within the class's target."""
     return outcome.first_ms is not None and outcome.first_ms <= row.goal_ms
 
 
@@ -156,7 +165,7 @@
 
 
 class _MinimumWork(typing.NamedTuple):
-    """A request's engine time at the least, and what it is worth."""
+    """The least engine time that a request needs, and its class and size."""
 
     work_class: str
     tokens: int
@@ -164,13 +173,13 @@
 
 
 def bound(deployment, arrivals, worth=None):
-    """Return the credit that no policy can exceed, as a part of that owed.
+    """Return an upper bound of the credit, as a fraction of the full one.
 
-    In each window the engines have their time and that of the longest
-    target besides.  Each request takes what it takes at the least: reading
-    at a reading engine that keeps all shared parts, and its part of a full
-    batch.  Whoever is worth most for its engine time comes first, and all
-    others are served late at no cost.
+    In each window the engines have the time of the window plus that of the
+    longest target.  Each request takes its least engine time: prefill on a
+    prefill engine that has cached all shared parts, and its share of a full
+    batch.  Requests with the largest gain per engine time are served first,
+    and all others are assumed to be served late at no cost.
     """
     worth = worth or _CreditRules(deployment, arrivals)
     works_by_window = collections.defaultdict(list)
@@ -219,7 +228,7 @@
 
 
 def mean(summaries):
-    """Return the mean of runs of the same classes."""
+    """Return the mean of the summaries of runs of the same classes."""
     first = summaries[0]
     rows = {
         name: ClassRow(
@@ -250,7 +259,7 @@
 
 
 def table(summary_by_policy):
-    """Return the runs side by side as text."""
+    """Return the summaries of all policies as a text table."""
     lines = []
     for policy, found in summary_by_policy.items():
         lines.append(
@@ -272,7 +281,7 @@
 
 
 def to_json(summary_by_policy):
-    """Return the runs as JSON."""
+    """Return the summaries of all policies as JSON."""
     data = {
         policy: {
             **found._asdict(),
@@ -299,7 +308,7 @@
     axes.barh(names, [s.bound for s in found], color="0.85", label="bound")
     axes.barh(names, [s.credit for s in found], height=0.5, label="credit")
     axes.set_xlim(0, 1)
-    axes.set_xlabel("part of the credit owed")
+    axes.set_xlabel("fraction of the full credit")
     axes.invert_yaxis()
     axes.legend()
     figure.tight_layout()
--- a/clementinewall/lab/simulation.py
+++ b/clementinewall/lab/simulation.py
@@ -1,4 +1,4 @@
-"""One run of the lab: arrivals, gateways and engines in virtual time."""
+"""Simulates one run: arrivals, gateways and engines in virtual time."""
 
 import random
 import typing
@@ -13,15 +13,18 @@
 from clementinewall.lab import policies
 
 SERVICE = "model"
-# From the first arrival on; before, gateways only meet each other.
+# Time before the first arrival, in which gateways exchange their state.
 STARTUP_MS = 2_000.0
-# After the last arrival, for what is still at work.
+# Time after the last arrival, in which open requests complete.
 COMPLETION_MS = 10_000.0
 GAP_TARGET_MS = 150
 
 
 class Outcome(typing.NamedTuple):
-    """What became of a request; ``first_ms`` is ``None`` if unserved."""
+    """The outcome of a request; ``first_ms`` is ``None`` if unserved.
+
+    ``first_ms`` is the time from its arrival to its first event.
+    """
 
     work_class: str
     tokens: int
@@ -32,10 +35,11 @@
 
 
 class Run(typing.NamedTuple):
-    """What came out of a run.
+    """The raw result of a run.
 
-    ``read_ms`` is the time that engines read prompts, ``read_tokens`` what
-    they read, ``kept_elsewhere`` how many of these another engine kept.
+    ``total_prefill_ms`` is the prefill time of all engines,
+    ``prefilled_tokens`` the tokens that they prefilled, and
+    ``cached_elsewhere_tokens`` how many of these another engine had cached.
     """
 
     outcomes: tuple[Outcome, ...]
@@ -45,10 +49,10 @@
 
 
 class Simulation:
-    """Plays one load with one policy."""
+    """Simulates one load under one policy."""
 
     def __init__(self, deployment, policy, seed):
-        """Set up the gateways and engines; ``seed`` draws all chances."""
+        """Set up the gateways and engines; ``seed`` drives all randomness."""
         self._deployment = deployment
         self._policy = policy
         self._rng = random.Random(seed)
@@ -84,7 +88,7 @@
         }
 
     def run(self, arrivals):
-        """Play the arrivals; return a :class:`Run`."""
+        """Simulate the arrivals; return a :class:`Run`."""
         for gateway in self._gateway_by_ip.values():
             offset = self._rng.uniform(0, STARTUP_MS / 2)
             self._loop.after(offset, gateway.start, list(self._gateway_by_ip))
@@ -109,11 +113,11 @@
         delay = row.one_way_ms + gateways.PROCESSING_MS
         self._loop.after(delay, receive, self._gateway_by_ip[ip])
 
-    # What requests use.
+    # Used by requests.
 
     @property
     def loop(self):
-        """Return the virtual time."""
+        """Return the event loop."""
         return self._loop
 
     @property
@@ -122,21 +126,21 @@
 
     @property
     def prefill_overhead_ms(self):
-        """Return what a prompt's reading takes besides the reading."""
+        """Return the duration of a prefill request besides the prefill."""
         return 2 * self._hop_ms + engines.PREFILL_ANSWER_MS
 
     def hop(self, function, *arguments):
-        """Call a function after the way to an engine or back."""
+        """Call a function after the delay between gateway and engine."""
         self._loop.after(self._hop_ms, function, *arguments)
 
     def random_gateway(self):
-        """Return the gateway that a caller happens to use."""
+        """Return a random gateway, as callers choose theirs."""
         return self._rng.choice(list(self._gateway_by_ip.values()))
 
     def place(self, gateway, exchange):
         """Return the plan for a request.
 
-        :raises Overloaded: it is refused.
+        :raises Overloaded: the policy refuses the request.
         """
         return self._place_by_ip[gateway.ip](exchange, None)
 
@@ -145,11 +149,11 @@
         return self._engine_by_id[state.endpoint.id]
 
     def work_class(self, name):
-        """Return the figures of a class."""
+        """Return the :class:`deployment.RequestClass` of a name."""
         return self._deployment.classes[name]
 
     def exchange(self, arrival):
-        """Return a request as a gateway holds it."""
+        """Return the gateway's representation of a request."""
         call = _call(arrival)
         row = self.work_class(arrival.work_class)
         route = _route(arrival.work_class, row)
@@ -159,7 +163,7 @@
         )
 
     def record_prefill(self, engine, prompt):
-        """Count the shared tokens that another engine keeps."""
+        """Count the tokens to prefill that another engine has cached."""
         total = 0
         for part in prompt.parts[:-1]:
             total += part.tokens
@@ -173,12 +177,12 @@
                 self._cached_elsewhere_tokens += part.tokens
 
     def record_outcome(self, outcome):
-        """Note what became of a request."""
+        """Record the outcome of a request."""
         self._outcomes.append(outcome)
 
 
 class _Request:
-    """A caller's request on its way."""
+    """A caller's request, with its retries after refusals."""
 
     def __init__(self, simulation, arrival, at):
         self._simulation = simulation
@@ -188,7 +192,7 @@
         self._refusals = 0
 
     def arrive(self):
-        """Reach some gateway, which places or refuses the request."""
+        """Arrive at a random gateway, which places or refuses the request."""
         gateway = self._simulation.random_gateway()
         exchange = self._simulation.exchange(self._arrival)
         try:
@@ -239,7 +243,7 @@
 
 
 class _PlacedRequest:
-    """A request that was placed, at its engines."""
+    """A placed request: prefill, cache transfer and decode."""
 
     def __init__(self, simulation, gateway, plan, prompt, on_first):
         self._simulation = simulation
--- a/tests/lab/test_engine.py
+++ b/tests/lab/test_engine.py
@@ -1,4 +1,4 @@
-"""The model of an engine."""
+"""Tests of the simulated engine."""
 
 import unittest
 
@@ -15,22 +15,22 @@
 
 
 def prompt(*parts, out=10):
-    """Return a prompt of parts given as names and tokens."""
+    """Return a prompt of parts given as (id, tokens)."""
     found = tuple(domain.PromptPart(name, tokens) for name, tokens in parts)
     return domain.Prompt("m", sum(p.tokens for p in found), out, found)
 
 
 class PrefillEngineTest(unittest.TestCase):
-    """An engine that reads prompts."""
+    """A prefill engine."""
 
     def setUp(self):
-        """Begin with an idle engine."""
+        """Start with an idle engine."""
         self.loop = loops.Loop()
         self.engine = engines.Engine("e", ROW, True, self.loop)
         self.ends = []
 
     def prefill(self, name, tokens, urgency=1):
-        """Have a prompt read; its end is noted by name."""
+        """Queue a prompt; the time of its end is recorded by name."""
 
         def done():
             self.ends.append((name, self.loop.now))
@@ -91,16 +91,16 @@
 
 
 class DecodeEngineTest(unittest.TestCase):
-    """An engine that runs streams."""
+    """A decode engine."""
 
     def setUp(self):
-        """Begin with an idle engine."""
+        """Start with an idle engine."""
         self.loop = loops.Loop()
         self.engine = engines.Engine("e", ROW, False, self.loop)
         self.ends = []
 
     def run_stream(self, name, tokens_out):
-        """Begin a stream; its end is noted by name."""
+        """Start a stream; the time of its end is recorded by name."""
         self.engine.decode(
             prompt((name, 100), out=tokens_out),
             1,
--- a/tests/lab/test_main.py
+++ b/tests/lab/test_main.py
@@ -1,4 +1,4 @@
-"""The lab's command line and deployment files."""
+"""Tests of the lab's command line and deployment files."""
 
 import pathlib
 import subprocess
@@ -14,7 +14,7 @@
 
 
 class DeploymentFileTest(unittest.TestCase):
-    """Deployment files."""
+    """Loading of deployment files."""
 
     def test_all_samples_load(self):
         self.assertTrue(SAMPLES)
@@ -40,10 +40,10 @@
 
 
 class CommandLineTest(unittest.TestCase):
-    """``clementinewall-lab``."""
+    """The command ``clementinewall-lab``."""
 
     def lab(self, *words):
-        """Run the lab."""
+        """Run the lab with command-line arguments; return the process."""
         return subprocess.run(
             [sys.executable, "-m", "clementinewall.lab.main", *words],
             cwd=ROOT,
--- a/tests/lab/test_simulation.py
+++ b/tests/lab/test_simulation.py
@@ -1,4 +1,4 @@
-"""Whole runs of the lab."""
+"""Tests of whole runs of the lab."""
 
 import unittest
 
@@ -38,7 +38,7 @@
 
 
 def with_load(factor):
-    """Return the small deployment with so many times its load."""
+    """Return the small deployment with ``factor`` times its load."""
     classes = {
         name: row._replace(per_s=row.per_s * factor)
         for name, row in SMALL.classes.items()
@@ -47,13 +47,13 @@
 
 
 def play(text, where=SMALL, seed=1):
-    """Return the summary of one run."""
+    """Return the summary of one run of the policy named ``text``."""
     policy = policies.parse(text)
     return main.play(main.Job(where, policy, seed, SECONDS))
 
 
 class LoadTest(unittest.TestCase):
-    """The requests that are drawn."""
+    """Random arrivals."""
 
     def test_same_seed_draws_the_same_arrivals(self):
         self.assertEqual(
@@ -86,7 +86,7 @@
 
 
 class SimulationTest(unittest.TestCase):
-    """Policies side by side."""
+    """Results of the policies."""
 
     def test_same_seed_gives_the_same_result(self):
         self.assertEqual(play("gateway"), play("gateway"))
@@ -106,29 +106,32 @@
                 self.assertLessEqual(found.credit, found.bound + 1e-9)
 
     def test_gateway_policy_beats_random_placement(self):
-        # With the load near what the engines can read, callers of a random
-        # engine wait behind whoever is there.
+        # At a load near the prefill capacity of the engines, a request that
+        # is placed at random waits behind the queue of its engine.
         known = play("gateway").credit
         self.assertGreater(known, play("random").credit + 0.1)
         self.assertGreater(known, play("random-split").credit + 0.02)
 
     def test_overload_does_not_starve_large_requests(self):
-        # Refusing whatever is large would earn as much credit with less
-        # engine time, and its callers would never be served.
+        # Refusing all large requests would earn as much credit for less
+        # engine time, but their callers would never be served.
         found = play("gateway", with_load(1.5))
         row = found.by_class["long"]
         self.assertGreater(row.largest, row.credit / 2)
 
 
 class PrefillSpeedLearningTest(unittest.TestCase):
-    """Engines that read at another speed than gateways predict."""
+    """Engines whose prefill speed differs from the gateways' prediction.
+
+    Gateways learn a scale of their predictions from measured prefills.
+    """
 
     WITHOUT_LEARNING = (
         "gateway:prefill_scale.FIRST_STEP=0,prefill_scale.LAST_STEP=0"
     )
 
     def credits(self, tokens_a_ms, pairs_ms_a_million, factor):
-        """Return the credit with what gateways learn, and without."""
+        """Return the mean credit with learning and without."""
         where = with_load(factor)
         engines = where.engines._replace(
             tokens_a_ms=tokens_a_ms, pairs_ms_a_million=pairs_ms_a_million
@@ -149,7 +152,7 @@
 
 
 class PolicyTest(unittest.TestCase):
-    """Policies as they are named on the command line."""
+    """Parsing of policies and overrides of constants."""
 
     def test_overrides_apply_to_their_run_only(self):
         before = play("gateway")
@@ -171,7 +174,7 @@
 
 
 class ReportTest(unittest.TestCase):
-    """What is printed."""
+    """The printed report."""
 
     def test_table_and_json_name_policies_and_classes(self):
         found = {"gateway": report.mean([play("gateway"), play("gateway")])}
