--- a/clementinewall/http1/client.py
+++ b/clementinewall/http1/client.py
@@ -1,10 +1,10 @@
-"""Connections to endpoints, kept for reuse, with how far each send came.
+"""Pooled connections to endpoints that track the progress of each request.
 
-A :class:`Link` is one connection; its owner is the task that holds it.  A
-:class:`Pool` keeps the idle ones of one peer.  An idle link that shows any
-byte or its end before it is used again is thrown away: bytes that come
-after a whole answer belong to no request, and a request written into a
-closing connection may or may not have run.
+A :class:`Link` is one connection, used by one task at a time.  A
+:class:`Pool` holds the idle links to one peer.  An idle link is discarded if
+it receives any byte or its end before it is used again: bytes after a
+complete answer belong to no request, and a request sent on a closing
+connection may or may not have run.
 """
 
 import select
@@ -18,26 +18,26 @@
 from clementinewall import verdicts
 
 MAX_HEAD_BYTES = 65_536
-# Packets that the peer doesn't confirm for so long end the connection: a
-# peer without power sends no reset, and the default of the operating system
-# is a quarter of an hour.
+# A connection ends when sent data stays unacknowledged for this time.  A peer
+# that lost power sends no reset, and the operating system's default is about
+# 15 minutes.
 UNACKNOWLEDGED_MS = 3_000
-# The margin by which a kept connection is given up before its peer may
-# close it; covers the way there and a late timer.
+# An idle connection is discarded this long before its peer may close it, to
+# allow for network delay and late timers.
 IDLE_MARGIN_MS = 400
-# A peer that names no timeout for kept connections closes them within a
-# second or so.
+# For peers that send no keep-alive timeout: they close idle connections
+# within about a second.
 DEFAULT_IDLE_MS = 500
 
 
 class LinkBroken(Exception):
-    """The exchange ended early; ``progress`` says how far it had come.
+    """The exchange failed; ``progress`` is a ``verdicts.Progress``.
 
-    ``absent`` tells that nothing listens at the address.
+    ``absent`` is true if nothing listens at the address.
     """
 
     def __init__(self, progress, why, absent=False):
-        """Keep how far the exchange had come."""
+        """Keep the progress of the exchange and the reason of its failure."""
         super().__init__(why)
         self.progress = progress
         self.why = why
@@ -48,7 +48,7 @@
     """One connection to a peer, for one exchange at a time."""
 
     def __init__(self, stream, now):
-        """Own ``stream``, opened at ``now``."""
+        """Own ``stream``, opened at ``now`` (milliseconds)."""
         self._stream = stream
         self._h11 = _new_h11()
         self._sent_request = None
@@ -59,10 +59,11 @@
         self.is_new = True
 
     async def send(self, request, limit_ms=None):
-        """Write a whole request.
+        """Send a complete request.
 
-        :raises LinkBroken: it could not be written.
-        :raises TimeoutError: it wasn't taken within ``limit_ms``.
+        :raises LinkBroken: the connection was reset.
+        :raises TimeoutError: the system did not accept all its bytes within
+            ``limit_ms``.
         """
         headers = list(request.headers)
         if request.body or request.method not in (b"GET", b"DELETE"):
@@ -79,14 +80,16 @@
         try:
             await self._stream.send(data, limit_ms)
         except anyio.BrokenResourceError as exc:
-            raise self._broken("reset while sending") from exc
+            raise self._broken(
+                "connection reset while sending the request"
+            ) from exc
         self.progress = verdicts.Progress.SENT_WHOLE
 
     async def read_head(self, limit_ms=None):
-        """Return the head of the next answer.
+        """Return the head of the next final answer.
 
-        :raises LinkBroken: there came none.
-        :raises TimeoutError: nothing came for ``limit_ms``.
+        :raises LinkBroken: the connection ended without one.
+        :raises TimeoutError: nothing was received for ``limit_ms``.
         """
         while True:
             event = await self._next_event(limit_ms)
@@ -99,25 +102,25 @@
                 self._apply_keep_alive(head)
                 return head
             if not isinstance(event, h11.InformationalResponse):
-                raise self._broken("closed without an answer")
+                raise self._broken("connection closed without an answer")
 
     async def read_part(self, limit_ms=None):
-        """Return the next part of the body, or ``None`` at its whole end.
+        """Return the next part of the body, or ``None`` once it is complete.
 
-        :raises LinkBroken: it ended early.
-        :raises TimeoutError: nothing came for ``limit_ms``.
+        :raises LinkBroken: the connection ended within the body.
+        :raises TimeoutError: nothing was received for ``limit_ms``.
         """
         event = await self._next_event(limit_ms)
         if isinstance(event, h11.Data):
             return bytes(event.data)
         if isinstance(event, h11.EndOfMessage):
             return None
-        raise self._broken("closed within the answer")
+        raise self._broken("connection closed within the answer")
 
     async def read_rest(self, max_bytes):
         """Return the rest of the body, of ``max_bytes`` bytes at most.
 
-        :raises LinkBroken: it ended early or is too long.
+        :raises LinkBroken: the body was truncated or is longer.
         """
         parts = []
         size = 0
@@ -125,18 +128,19 @@
         while part is not None:
             size += len(part)
             if size > max_bytes:
-                raise self._broken(f"the answer is over {max_bytes} bytes")
+                raise self._broken(
+                    f"the answer's body is over {max_bytes} bytes"
+                )
             parts.append(part)
             part = await self.read_part()
         return b"".join(parts)
 
     def expect_another(self):
-        """Wait for a further answer to the request that was sent.
+        """Prepare to read another answer to the request that was sent.
 
-        Endpoints at times send a second, late answer to an earlier request
-        where the answer to this one is due.  ``h11`` would take it for a
-        breach of protocol, so the parser is set up anew with the bytes that
-        are left.
+        An endpoint may send a late second answer to an earlier request in
+        place of the answer to this one.  ``h11`` would treat the answer after
+        it as a protocol error, so a new parser gets the unread bytes.
         """
         rest, closed = self._h11.trailing_data
         self._h11 = _new_h11()
@@ -152,7 +156,7 @@
             try:
                 event = self._h11.next_event()
             except h11.RemoteProtocolError as exc:
-                raise self._broken(f"not HTTP: {exc}") from exc
+                raise self._broken(f"invalid HTTP answer: {exc}") from exc
             if event is not h11.NEED_DATA:
                 return event
             try:
@@ -168,14 +172,14 @@
         for part in keep_alive.split(b","):
             name, _, value = part.partition(b"=")
             if name.strip().lower() == b"timeout":
-                seconds = messages.whole_number(value, 0)
+                seconds = messages.parse_integer(value, 0)
                 self._idle_ms = seconds * 1_000 - IDLE_MARGIN_MS
 
     def _broken(self, why):
         return LinkBroken(self.progress, why)
 
     def prepare_reuse(self, now):
-        """Get ready for another request; return whether that is possible."""
+        """Prepare for the next request; return whether that is possible."""
         done = (
             self._h11.our_state is h11.DONE
             and self._h11.their_state is h11.DONE
@@ -189,28 +193,31 @@
         return self._idle_ms > 0
 
     def is_idle(self):
-        """Tell whether nothing has come since the last whole answer."""
+        """Tell whether nothing was received since the last complete answer."""
         if not self._stream.is_idle:
             return False
-        # What has arrived but wasn't read by the event loop yet.
+        # Checks for data that the event loop has not read from the socket yet.
         poll = select.poll()
         poll.register(self._stream.raw_socket.fileno(), select.POLLIN)
         return not poll.poll(0)
 
     def close(self):
-        """Close at once; the endpoint then drops the request.
+        """Reset the connection; the endpoint then drops the request.
 
-        Bytes of an order or a request that the peer hasn't taken yet must
-        not arrive after it was given up.
+        Unsent bytes of a request or an order must not reach the peer after
+        the request was abandoned.
         """
         self._stream.abort()
 
 
 class Pool:
-    """The idle links to one peer, last used first."""
+    """The idle links to one peer; the most recently used is reused first."""
 
     def __init__(self, address, now, connect_ms):
-        """Keep links to ``address`` (``IP:port``)."""
+        """Pool links to ``address`` (``IP:port``).
+
+        ``now`` returns the time in milliseconds.
+        """
         self.address = address
         self._now = now
         self._connect_ms = connect_ms
@@ -218,9 +225,9 @@
         self.open_links = 0
 
     async def acquire(self):
-        """Return a kept link, or a new one.
+        """Return an idle link, or a new one.
 
-        :raises LinkBroken: no connection could be made.
+        :raises LinkBroken: the connection could not be established.
         """
         while self._idle:
             link = self._idle.pop()
@@ -232,7 +239,7 @@
     async def connect(self):
         """Return a new link.
 
-        :raises LinkBroken: no connection could be made.
+        :raises LinkBroken: the connection could not be established.
         """
         self.open_links += 1
         try:
@@ -253,11 +260,12 @@
         return Link(stream, self._now())
 
     async def send_request(self, request, max_bytes, fresh=False):
-        """Send a request and return head and body of its answer.
+        """Send a request and return the head and body of its answer.
 
-        ``fresh`` takes a new connection that is closed afterwards.
+        ``fresh`` uses a new connection and closes it afterwards.
 
-        :raises LinkBroken: it broke, or the body is over ``max_bytes`` bytes.
+        :raises LinkBroken: the exchange failed, or the body is over
+            ``max_bytes`` bytes.
         """
         link = await (self.connect() if fresh else self.acquire())
         try:
@@ -274,14 +282,14 @@
         return head, body
 
     def release(self, link):
-        """Keep a link whose exchange is over, if it can be used again."""
+        """Return a link to the pool, or close it if it can't be reused."""
         if link.prepare_reuse(self._now()):
             self._idle.append(link)
         else:
             self.discard(link)
 
     def discard(self, link):
-        """Close a link."""
+        """Close a link and remove it from the count of open ones."""
         self.open_links -= 1
         link.close()
 
@@ -291,7 +299,7 @@
             self.discard(self._idle.pop())
 
     def prune(self):
-        """Close the links whose time to be kept is over."""
+        """Close the idle links whose keep-alive time is over."""
         now = self._now()
         expired = [link for link in self._idle if link.idle_until <= now]
         self._idle = [link for link in self._idle if link.idle_until > now]
--- a/clementinewall/http1/messages.py
+++ b/clementinewall/http1/messages.py
@@ -1,15 +1,15 @@
-"""Requests and answers as plain data, and their headers.
+"""Requests and heads of answers as plain data.
 
-Header names are compared in lower case; what is forwarded keeps the case
-and order in which it came.
+Header names are compared in lower case; forwarded headers keep the case and
+order in which they were received.
 """
 
 import typing
 
 Header = tuple[bytes, bytes]
 
-# What concerns one connection only (RFC 9110, section 7.6.1), and the
-# framing, which each connection writes for itself.
+# Headers that concern one connection only (RFC 9110, section 7.6.1), and
+# those of framing, which each connection sets for itself.
 _HOP_BY_HOP = frozenset(
     (
         b"connection",
@@ -28,7 +28,7 @@
 
 
 class Request(typing.NamedTuple):
-    """A whole request; ``target`` is the path with its query, as sent."""
+    """A complete request; ``target`` is the path with its query, as sent."""
 
     method: bytes
     target: bytes
@@ -61,7 +61,7 @@
 
 
 def end_to_end(headers):
-    """Return the headers without those that concern one connection."""
+    """Return the headers without the hop-by-hop ones."""
     named = find(headers, b"connection") or b""
     listed = {part.strip().lower() for part in named.split(b",")}
     return tuple(
@@ -71,8 +71,11 @@
     )
 
 
-def whole_number(value, default=None):
-    """Return a header's value as a whole number of at most 18 digits."""
+def parse_integer(value, default=None):
+    """Return a header's value as an integer of at most 18 digits.
+
+    Any other value gives ``default``.
+    """
     if value is None:
         return default
     text = value.strip()
--- a/clementinewall/http1/server.py
+++ b/clementinewall/http1/server.py
@@ -1,8 +1,9 @@
-"""One caller's connection: requests in, answers out.
+"""A caller's connection: reads requests and sends answers.
 
-The task that serves the connection owns it.  Reading goes on while an answer
-is being made, for two reasons: a caller that closes is noticed at once, so
-that its work can be cancelled, and bytes of its next request are kept.
+The task that serves the connection owns it.  Reading continues while a
+request is served, for two reasons: a caller's disconnection is noticed at
+once, so that its work can be cancelled, and bytes of its next request are
+buffered.
 """
 
 import typing
@@ -17,7 +18,7 @@
 
 
 class Limits(typing.NamedTuple):
-    """What a caller may send, and how long it may take."""
+    """Limits on the size of a caller's request and on the time to send it."""
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
@@ -26,10 +27,10 @@
 
 
 class Refused(Exception):
-    """The bytes are no acceptable request; the status says why."""
+    """The request is invalid, too large or too late; ``status`` says which."""
 
     def __init__(self, status, why):
-        """Keep the status to answer with."""
+        """Keep the status to answer with and the reason."""
         super().__init__(why)
         self.status = status
         self.why = why
@@ -43,7 +44,7 @@
     """A caller's connection."""
 
     def __init__(self, stream, limits):
-        """Serve ``stream`` within the :class:`Limits` given."""
+        """Read from and write to ``stream`` within the given limits."""
         self._stream = stream
         self._limits = limits
         self._h11 = _new_h11(limits)
@@ -53,29 +54,29 @@
 
     @property
     def is_idle(self):
-        """Tell whether no byte of a next request has come."""
+        """Tell whether no byte of a next request was received."""
         return (
             self._h11.their_state is h11.IDLE
             and not self._h11.trailing_data[0]
         )
 
     def close_after_answer(self):
-        """Let the answer that comes next be the last one."""
+        """Close the connection after the next answer."""
         self._closing = True
 
     def close(self):
-        """End the connection."""
+        """Close the connection, abruptly if bytes are left to send."""
         self._stream.close()
 
     def stop_reading(self):
-        """Wait no longer for a request, or for the rest of one."""
+        """Stop waiting for a request, or for the rest of one."""
         self._closing = True
         self._stream.stop_waiting()
 
     async def read_request(self):
-        """Return the next request, or ``None`` at the end.
+        """Return the next request, or ``None`` if there is no further one.
 
-        :raises Refused: the bytes are no request, or it is too large.
+        :raises Refused: the request is invalid, too large or too late.
         """
         try:
             head = await self._read_head()
@@ -91,7 +92,11 @@
         )
 
     async def _read_head(self):
-        """Wait for a head: long for its first byte, not long for the rest."""
+        """Read a head.
+
+        The idle timeout applies until its first byte, then the header
+        timeout.
+        """
         wait_ms = self._limits.idle_timeout_ms
         if not self.is_idle:
             wait_ms = self._limits.header_timeout_ms
@@ -103,7 +108,7 @@
                 if self.is_idle:
                     return None
                 raise Refused(
-                    408, "the head of the request came too late"
+                    408, "the request's head was not complete in time"
                 ) from exc
             wait_ms = self._limits.header_timeout_ms
             event = self._h11.next_event()
@@ -122,11 +127,13 @@
                 try:
                     await self._receive(self._limits.idle_timeout_ms)
                 except TimeoutError as exc:
-                    raise Refused(408, "the body came too late") from exc
+                    raise Refused(
+                        408, "the request's body was not complete in time"
+                    ) from exc
             elif isinstance(event, h11.Data):
                 size += len(event.data)
                 if size > self._limits.body_bytes:
-                    raise Refused(413, "the body is too large")
+                    raise Refused(413, "the request's body is too large")
                 parts.append(bytes(event.data))
             else:
                 return b"".join(parts)
@@ -135,11 +142,14 @@
         self._h11.receive_data(await self._stream.receive(limit_ms))
 
     def set_close_callback(self, callback):
-        """Call back when the caller closes, or no longer with ``None``."""
+        """Set the callback for the caller's close; ``None`` clears it."""
         self._stream.set_close_callback(callback)
 
     async def send_head(self, head, length=None):
-        """Send the head of an answer, framed by length or in chunks."""
+        """Send the head of an answer.
+
+        Without ``length`` (bytes), the body is sent in chunks.
+        """
         headers = list(head.headers)
         if length is not None:
             headers.append((b"Content-Length", str(length).encode()))
@@ -160,11 +170,11 @@
         await self._send(h11.Data(data=data))
 
     async def finish(self):
-        """End the answer as whole."""
+        """Mark the answer as complete."""
         await self._send(h11.EndOfMessage())
 
     async def answer(self, head, body):
-        """Send a whole answer in one write."""
+        """Send a complete answer in one write."""
         headers = list(head.headers)
         headers.append((b"Content-Length", str(len(body)).encode()))
         self._add_close(headers)
@@ -184,10 +194,10 @@
         await self._write(b"".join(part for part in parts if part))
 
     def _add_close(self, headers):
-        """Say that this answer is the last one, unless more is asked for.
+        """Announce the close of the connection, unless more bytes came.
 
-        After it, nothing tells the caller whether a request that it sent
-        ahead of this answer has run.
+        A caller that had already sent its next request could not know, after
+        the close, whether that request has run.
         """
         self._closes_after_answer = (
             self._closing and not self._has_next_request_bytes()
@@ -196,7 +206,7 @@
             headers.append((b"Connection", b"close"))
 
     def _has_next_request_bytes(self):
-        """Tell whether bytes came after a whole request."""
+        """Tell whether bytes were received after a complete request."""
         if self._h11.their_state is not h11.DONE:
             return False
         return bool(self._h11.trailing_data[0]) or self._stream.has_bytes
@@ -213,7 +223,7 @@
             raise CallerDisconnected from exc
 
     def next_request(self):
-        """Get ready for the next request; return whether there may be one."""
+        """Prepare for the next request; return whether there may be one."""
         if self._h11.our_state is not h11.DONE or self._closes_after_answer:
             return False
         if self._h11.their_state is not h11.DONE:
--- a/clementinewall/http1/stream.py
+++ b/clementinewall/http1/stream.py
@@ -1,9 +1,9 @@
-"""TCP connections as asyncio gives them, without anyio's layer over them.
+"""TCP connections on asyncio's transports instead of anyio's streams.
 
-The rest of the gateway is written for anyio.  Its socket streams, however,
-stop and start reading around each receive, which takes two system calls, and
-go through the event loop twice more for each send.  Waiting here is still
-ended by anyio's cancel scopes.
+The rest of the gateway uses anyio.  Its socket streams, however, pause and
+resume reading around each receive, which costs two system calls, and take two
+more passes of the event loop for each send.  Waits in this module can still be
+cancelled by anyio's cancel scopes.
 """
 
 import asyncio
@@ -15,17 +15,17 @@
 from clementinewall import clock
 from clementinewall import errors
 
-# Reading stops while so much is waiting to be taken: what a peer sends ahead
-# counts as this process's memory.
+# Reading pauses at this many unread bytes, since what a peer sends ahead uses
+# the process's memory.
 MAX_READ_AHEAD_BYTES = 65_536
 MAX_PENDING_CONNECTIONS = 1_024
 
 
 class Stream(asyncio.Protocol):
-    """One connection; one task reads from it and one writes, or the same."""
+    """One connection, with at most one reading and one writing task."""
 
     def __init__(self, on_open=None):
-        """Call ``on_open(stream)`` when it is connected."""
+        """Call ``on_open(stream)`` once connected."""
         self._on_open = on_open
         self._close_callback = None
         self._transport = None
@@ -40,19 +40,19 @@
         self._is_write_blocked = False
         self._may_wait = True
 
-    # What asyncio calls.
+    # Callbacks for asyncio.
 
     def connection_made(self, transport):
-        """Begin."""
+        """Store the transport and announce the connection."""
         self._transport = transport
-        # A send is over when the system has taken all its bytes: whether a
-        # request may have reached its endpoint hangs on that.
+        # With no buffer, a send ends only when the system has accepted all
+        # bytes, which decides whether a request may have reached its endpoint.
         transport.set_write_buffer_limits(0)
         if self._on_open is not None:
             self._on_open(self)
 
     def data_received(self, data):
-        """Keep bytes until they are asked for."""
+        """Buffer the bytes until they are read."""
         self._chunks.append(data)
         self._buffered_bytes += len(data)
         if (
@@ -64,23 +64,23 @@
         _wake(self._read_waiter)
 
     def eof_received(self):
-        """Note that the peer will send no more; answers may still go out."""
+        """Handle the end of the peer's data; sending is still possible."""
         self._handle_end()
         return True
 
     def connection_lost(self, exc):
-        """Note that the connection is gone."""
+        """Handle the loss of the connection."""
         self._is_disconnected = True
         self._error = exc
         _wake(self._write_waiter)
         self._handle_end()
 
     def pause_writing(self):
-        """Note that the system takes no more bytes for now."""
+        """Handle a full send buffer of the system."""
         self._is_write_blocked = True
 
     def resume_writing(self):
-        """Note that all bytes were taken."""
+        """Handle that the system has accepted all bytes."""
         self._is_write_blocked = False
         _wake(self._write_waiter)
 
@@ -90,39 +90,42 @@
         if self._close_callback is not None:
             self._close_callback()
 
-    # What the gateway calls.
+    # Interface for the gateway.
 
     @property
     def is_idle(self):
-        """Tell whether the peer has sent nothing that wasn't taken."""
+        """Tell whether there is neither unread data nor the peer's end."""
         return not self._chunks and not self._at_end
 
     @property
     def has_bytes(self):
-        """Tell whether bytes came that weren't taken."""
+        """Tell whether there are unread bytes."""
         return bool(self._chunks)
 
     @property
     def raw_socket(self):
-        """Return the socket, for its options and to poll it."""
+        """Return the socket, to set its options and poll it."""
         return self._transport.get_extra_info("socket")
 
     def set_close_callback(self, callback):
-        """Call back when the peer closes, at once if it has; or ``None``."""
+        """Set the callback for the peer's close; ``None`` clears it.
+
+        It is called at once if the peer has already closed.
+        """
         self._close_callback = callback
         if callback is not None and self._at_end:
             callback()
 
     def stop_waiting(self):
-        """Let :meth:`receive` time out from now on instead of waiting."""
+        """Make :meth:`receive` time out at once from now on."""
         self._may_wait = False
         if self._read_waiter is not None:
             _time_out(self._read_waiter)
 
     async def receive(self, limit_ms=None):
-        """Return what came, or ``b""`` at the peer's end.
+        """Return all unread bytes, or ``b""`` at the end of the peer's data.
 
-        :raises TimeoutError: nothing came for ``limit_ms``.
+        :raises TimeoutError: nothing was received for ``limit_ms``.
         :raises anyio.BrokenResourceError: the connection was reset.
         """
         if not self._chunks and not self._at_end:
@@ -146,10 +149,10 @@
         return data
 
     async def send(self, data, limit_ms=None):
-        """Write ``data`` and wait until the system has taken it.
+        """Write ``data`` and wait until the system has accepted it.
 
-        :raises TimeoutError: it took longer than ``limit_ms``.
-        :raises anyio.BrokenResourceError: the connection is gone.
+        :raises TimeoutError: that took longer than ``limit_ms``.
+        :raises anyio.BrokenResourceError: the connection is lost.
         """
         if self._is_disconnected or self._transport.is_closing():
             raise anyio.BrokenResourceError from self._error
@@ -161,14 +164,14 @@
             raise anyio.BrokenResourceError from self._error
 
     def close(self):
-        """End the connection in order, or abruptly if bytes are left."""
+        """Close the connection, abruptly if bytes are left to send."""
         if self._transport.get_write_buffer_size():
             self._transport.abort()
         else:
             self._transport.close()
 
     def abort(self):
-        """Reset the connection; what wasn't sent yet never is."""
+        """Close abruptly; bytes that are not sent yet are dropped."""
         self._transport.abort()
 
 
@@ -178,7 +181,10 @@
 
 
 async def _wait(waiter, limit_ms):
-    """Wait for ``waiter``; a timer is a tenth of the cost of a scope."""
+    """Wait for ``waiter``.
+
+    A timer costs a tenth of what a cancel scope does.
+    """
     if limit_ms is None:
         await waiter
         return
@@ -199,8 +205,8 @@
 async def connect(address, limit_ms):
     """Return a stream to ``address`` (``IP:port``).
 
-    :raises TimeoutError: there was none within ``limit_ms``.
-    :raises OSError: it was refused.
+    :raises TimeoutError: it was not connected within ``limit_ms``.
+    :raises OSError: the connection failed.
     """
     host, _, port = address.rpartition(":")
     loop = asyncio.get_running_loop()
@@ -210,11 +216,11 @@
 
 
 async def listen(address, serve, group):
-    """Run ``serve(stream)`` in ``group`` for each connection that comes.
+    """Run ``serve(stream)`` in ``group`` for each accepted connection.
 
-    Return the listener; its ``close()`` takes no more of them.
+    Return the listener; after its ``close()`` no more are accepted.
 
-    :raises SettingsError: naming the address, which can't be used.
+    :raises SettingsError: the address can't be listened on.
     """
     host, _, port = address.rpartition(":")
     on_open = functools.partial(group.start_soon, serve)
--- a/clementinewall/platform/calls.py
+++ b/clementinewall/platform/calls.py
@@ -1,4 +1,4 @@
-"""Requests as callers send them and as endpoints get them."""
+"""Encoding and decoding of requests and answers of callers and endpoints."""
 
 import json
 import urllib.parse
@@ -15,7 +15,8 @@
 _LOAD_HEADER = b"server-load"
 _ENCODING_HEADER = b"content-encoding"
 _MISDIRECTED_STATUS = 421
-# What decoding a malformed body raises; its numbers may be infinite.
+# Raised when a malformed body is decoded.  Converting an infinite number to
+# an integer raises OverflowError.
 _DECODE_ERRORS = (
     AttributeError,
     IndexError,
@@ -26,9 +27,9 @@
     RecursionError,
 )
 
-# These are the system's to set.  A caller that sends them would choose its
-# engine, jump queues or continue from the memory of somebody else's prompt,
-# so whatever it sent is dropped.
+# Only the gateway may set these headers; those of callers are dropped.  A
+# caller that could set them would choose its engine, jump queues or continue
+# from the KV cache of another caller's prompt.
 _RESERVED_HEADERS = frozenset(
     (
         b"deadline-ms",
@@ -49,14 +50,14 @@
 def decode(request):
     """Decode a caller's request.
 
-    :raises BadRequest: it has no usable id or host.
+    :raises BadRequest: it has no attempt id or no host.
     """
     attempt = request.header(ATTEMPT_HEADER)
     host = request.header(b"host")
     if not attempt:
-        raise errors.BadRequest("the request has no Attempt-Id")
+        raise errors.BadRequest("the request has no Attempt-Id header")
     if not host:
-        raise errors.BadRequest("the request has no Host")
+        raise errors.BadRequest("the request has no Host header")
     path = request.target.split(b"?", 1)[0]
     headers = tuple(
         (key, value)
@@ -71,14 +72,14 @@
         path=path.decode("latin-1"),
         headers=headers,
         body=request.body,
-        wait_ms=messages.whole_number(request.header(_DEADLINE_HEADER)),
-        resume_after=messages.whole_number(request.header(_RESUME_HEADER)),
+        wait_ms=messages.parse_integer(request.header(_DEADLINE_HEADER)),
+        resume_after=messages.parse_integer(request.header(_RESUME_HEADER)),
         prompt=_decode_prompt(request),
     )
 
 
 def _host_name(value):
-    """Return the host without its port, in lower case."""
+    """Return the host name in lower case, without its port."""
     text = value.decode("latin-1").strip().lower()
     name, colon, port = text.rpartition(":")
     return name if colon and port.isdigit() else text
@@ -92,8 +93,8 @@
     model = request.header(b"model") or b""
     return domain.Prompt(
         model=model.decode("latin-1"),
-        tokens_in=messages.whole_number(tokens_in, 0),
-        tokens_out=messages.whole_number(tokens_out, 0),
+        tokens_in=messages.parse_integer(tokens_in, 0),
+        tokens_out=messages.parse_integer(tokens_out, 0),
         parts=_decode_prompt_parts(request.header(b"prompt-prefix")),
     )
 
@@ -118,12 +119,13 @@
     urgency=None,
     source=None,
 ):
-    """Return the request that has ``endpoint`` run the call.
+    """Return the request by which ``endpoint`` runs the call.
 
-    ``after`` is the last event that the caller has, ``prefilled`` where the
-    engine gets the memory of the prompt, ``urgency`` its place among the
-    engine's waiting requests, 0 first; ``source`` is an endpoint from whose
-    cache it fetches what it lacks of the prompt's beginning.
+    ``after`` is the position of the last event that the caller received.
+    ``prefilled`` names where the engine fetches the KV cache of a prompt that
+    another engine prefilled.  ``urgency`` is its priority among the engine's
+    waiting requests, 0 first.  ``source`` is an endpoint from whose cache
+    the engine fetches the parts of the prompt prefix that it lacks.
     """
     extra_headers = _fetch_headers(source)
     if prefilled is not None:
@@ -140,7 +142,7 @@
 
 
 def prefill_request(call, endpoint, remaining_ms, urgency=None, source=None):
-    """Return the request that has an engine only read the prompt."""
+    """Return the request by which an engine only prefills the prompt."""
     extra_headers = [(b"Stage", b"prefill"), *_fetch_headers(source)]
     if urgency is not None:
         extra_headers.append((b"Request-Priority", str(urgency).encode()))
@@ -154,8 +156,8 @@
 
 
 def _request(call, headers, endpoint, remaining_ms, extra_headers):
-    # Without the id another process that got the address of an endpoint
-    # that has left would run the request.
+    # Without the expected id, another process that reuses the address of a
+    # removed endpoint would run the request.
     own_headers = (
         (b"Deadline-Ms", str(max(1, remaining_ms)).encode()),
         (b"Expect-Instance", endpoint.id.encode()),
@@ -167,7 +169,7 @@
 
 
 def free_request(handle):
-    """Return the request that frees the memory of a prefilled prompt."""
+    """Return the request that frees the KV cache of a prefilled prompt."""
     target = f"/kv-handle/{urllib.parse.quote(handle)}"
     return messages.Request(
         b"DELETE", target.encode(), ((b"Host", b"engine"),)
@@ -175,27 +177,28 @@
 
 
 def report_request():
-    """Return the request for an engine's report on itself."""
+    """Return the request for an engine's status report."""
     return messages.Request(b"GET", b"/report", ((b"Host", b"engine"),))
 
 
 def cached_parts_request():
-    """Return the request for the parts of prompts that an engine keeps."""
+    """Return the request for the prompt parts in an engine's cache."""
     return messages.Request(b"GET", b"/kv-list", ((b"Host", b"engine"),))
 
 
 def decode_cached_parts(body):
-    """Return the parts that an engine keeps as :class:`domain.CacheChange`.
+    """Decode all cached prompt parts into a :class:`domain.CacheChange`.
 
-    :raises BadRecord: it is no list of parts.
+    :raises BadRecord: the body is not a list of parts.
     """
     return _decode_cache_change(body, "held", 1)
 
 
 def cache_changes_request(since, wait_ms):
-    """Return the request for the changes of an engine's cache.
+    """Return the request for the changes to an engine's cache.
 
-    The engine answers as soon as there are some, or after ``wait_ms``.
+    The engine answers at the first change from ``since`` on, at the latest
+    after ``wait_ms``.
     """
     target = f"/kv-events?since={since}".encode()
     headers = ((b"Host", b"engine"), (b"Wait-Ms", str(wait_ms).encode()))
@@ -203,15 +206,15 @@
 
 
 def decode_cache_changes(body):
-    """Return the changes of a cache as :class:`domain.CacheChange`.
+    """Decode the changes to a cache into a :class:`domain.CacheChange`.
 
-    :raises BadRecord: they are none.
+    :raises BadRecord: the body is not a list of changes.
     """
     return _decode_cache_change(body, "events", 3)
 
 
 def _decode_cache_change(body, name, id_index):
-    """Decode rows of parts, in which ``first`` is the place of the id."""
+    """Decode rows of parts; the part's id is at ``id_index`` of each row."""
     try:
         data = json.loads(body)
         return domain.CacheChange(
@@ -226,13 +229,15 @@
             bool(data.get("lost", False)),
         )
     except _DECODE_ERRORS as exc:
-        raise errors.BadRecord(f"no {name} of a cache: {exc!r}") from exc
+        raise errors.BadRecord(
+            f"cannot decode the {name} of a cache: {exc!r}"
+        ) from exc
 
 
 def decode_engine_report(body):
-    """Decode an engine's report on itself.
+    """Decode an engine's status report.
 
-    :raises BadRecord: it is no report.
+    :raises BadRecord: the body is not a report.
     """
     try:
         data = json.loads(body)
@@ -240,14 +245,17 @@
             int(data["sequence"]), data.get("busy") is True
         )
     except _DECODE_ERRORS as exc:
-        raise errors.BadRecord(f"no report: {exc!r}") from exc
+        raise errors.BadRecord(
+            f"cannot decode an engine's report: {exc!r}"
+        ) from exc
 
 
 def stage_order(endpoint, stage, holder, token, sequence):
     """Return the order that changes an engine's stage.
 
-    The engine checks ``sequence``, the orders it had accepted, when it
-    carries the order out: one that was delayed and overtaken does nothing.
+    ``sequence`` is the number of orders that the engine had accepted.  The
+    engine compares it when it executes the order, so that a delayed order
+    that a later one has overtaken has no effect.
     """
     body = json.dumps(
         {
@@ -267,9 +275,9 @@
 
 
 def decode_prefill_answer(endpoint, body):
-    """Decode the answer to a prefill.
+    """Decode the answer to a prefill request.
 
-    :raises BadRecord: it is not such an answer.
+    :raises BadRecord: the body is not such an answer.
     """
     try:
         data = json.loads(body)
@@ -277,13 +285,15 @@
             endpoint.address, str(data["cache_handle"]), data["token_count"]
         )
     except (KeyError, TypeError, ValueError) as exc:
-        raise errors.BadRecord(f"no prefill answer: {exc!r}") from exc
+        raise errors.BadRecord(
+            f"cannot decode a prefill answer: {exc!r}"
+        ) from exc
 
 
 def is_answer_to(head, call):
     """Tell whether an answer belongs to this call.
 
-    A failure may come without the id; a success never does.
+    An error answer may lack the attempt id; a success always has it.
     """
     echoed = head.header(ATTEMPT_HEADER)
     if echoed is None:
@@ -292,17 +302,20 @@
 
 
 def reports_not_run(head):
-    """Tell whether the endpoint says that it has not run the request."""
+    """Tell whether the endpoint reports that it has not run the request."""
     return is_misdirected(head) or head.header(_NOT_RUN_HEADER) is not None
 
 
 def is_misdirected(head):
-    """Tell whether another endpoint, or one of another stage, answered."""
+    """Tell whether another endpoint or one in another stage answered."""
     return head.status == _MISDIRECTED_STATUS
 
 
 def is_complete_success(head):
-    """Tell whether a success can be handed on as the endpoint's own."""
+    """Tell whether a success can be forwarded as the endpoint's own answer.
+
+    It must have the server's stamp and no content encoding.
+    """
     return (
         head.header(_SERVER_STAMP_HEADER) is not None
         and head.header(_ENCODING_HEADER) is None
@@ -310,16 +323,16 @@
 
 
 def forwarded_head(head):
-    """Return the head of an answer as the caller gets it."""
+    """Return the head of an answer without its hop-by-hop headers."""
     return head._replace(headers=messages.end_to_end(head.headers))
 
 
 def decode_load(head):
-    """Return the load that an answer tells, or ``None``."""
+    """Return the load that an answer reports, or ``None``."""
     value = head.header(_LOAD_HEADER)
     if value is None:
         return None
-    numbers = [messages.whole_number(part) for part in value.split(b",")]
+    numbers = [messages.parse_integer(part) for part in value.split(b",")]
     if len(numbers) != 3 or None in numbers:
         return None
     return domain.EndpointLoad(*numbers)
--- a/clementinewall/platform/records.py
+++ b/clementinewall/platform/records.py
@@ -1,4 +1,4 @@
-"""The records of operators and endpoints in the platform's store."""
+"""Decoding of operators' and endpoints' records in the platform's store."""
 
 import json
 import math
@@ -10,8 +10,8 @@
 CONFIGURATION_TOPIC = "keyed.op"
 CONFIGURATION_KEY = "config"
 ENDPOINTS_TOPIC = "keyed.servers"
-# Our own topics.  The prefix makes the store keep the newest record of each
-# key for good.
+# Topics that the gateways write.  The prefix makes the store keep the newest
+# record of each key without expiry.
 GATEWAYS_TOPIC = "keyed.gateways"
 LEASES_TOPIC = "keyed.leases"
 _KNOWN_STATES = ("ready", "draining")
@@ -20,7 +20,7 @@
 def configuration(raw):
     """Decode a version of the configuration.
 
-    :raises BadRecord: it cannot be read.
+    :raises BadRecord: the record cannot be decoded.
     """
     data = _decode_object(raw)
     try:
@@ -33,19 +33,21 @@
             limits=_limits(data.get("limits", {})),
         )
     except (KeyError, TypeError, ValueError, AttributeError) as exc:
-        raise errors.BadRecord(f"configuration: {exc!r}") from exc
+        raise errors.BadRecord(
+            f"cannot decode the configuration: {exc!r}"
+        ) from exc
 
 
 def endpoint(endpoint_id, raw):
-    """Decode what an endpoint says of itself.
+    """Decode the record that an endpoint publishes of itself.
 
-    :raises BadRecord: it is not from an endpoint or can't be read.
+    :raises BadRecord: the record is not an endpoint's or can't be decoded.
     """
     data = _decode_object(raw)
     try:
         state = data["state"]
         if state not in _KNOWN_STATES:
-            raise ValueError(f"state {state!r}")
+            raise ValueError(f"unknown state {state!r}")
         return domain.Endpoint(
             id=endpoint_id,
             service=_text(data["service"]),
@@ -57,43 +59,45 @@
             incarnation=_integer(data.get("born", 0)),
         )
     except (KeyError, TypeError, ValueError, AttributeError) as exc:
-        raise errors.BadRecord(f"{endpoint_id}: {exc!r}") from exc
+        raise errors.BadRecord(
+            f"cannot decode the record of {endpoint_id}: {exc!r}"
+        ) from exc
 
 
 def _decode_object(raw):
     try:
         data = json.loads(raw)
     except (ValueError, RecursionError) as exc:
-        raise errors.BadRecord(f"not JSON: {exc}") from exc
+        raise errors.BadRecord(f"the record is not JSON: {exc}") from exc
     if not isinstance(data, dict):
-        raise errors.BadRecord("not an object")
+        raise errors.BadRecord("the record is not a JSON object")
     return data
 
 
 def _text(value):
     if not isinstance(value, str) or not value:
-        raise ValueError(f"{value!r} is no text")
+        raise ValueError(f"{value!r} is not a non-empty string")
     return value
 
 
 def _integer(value):
     if isinstance(value, bool) or not isinstance(value, int):
-        raise ValueError(f"{value!r} is no whole number")
+        raise ValueError(f"{value!r} is not an integer")
     return value
 
 
 def _number(value):
     if isinstance(value, bool) or not isinstance(value, (int, float)):
-        raise ValueError(f"{value!r} is no number")
+        raise ValueError(f"{value!r} is not a number")
     if not math.isfinite(value):
-        raise ValueError(f"{value!r} is not finite")
+        raise ValueError(f"{value!r} is not a finite number")
     return value
 
 
 def _address(value):
     host, _, port = _text(value).rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65_536:
-        raise ValueError(f"{value!r} is no address")
+        raise ValueError(f"{value!r} is not an address as host:port")
     return value
 
 
@@ -116,7 +120,7 @@
 
 
 def _shares(row):
-    """Return the services of a route; ``traffic_split`` goes first."""
+    """Return a route's services; ``traffic_split`` overrides ``service``."""
     split = row.get("traffic_split")
     if split:
         return tuple(
@@ -163,7 +167,7 @@
 
 
 def _routes_by_host(routes):
-    """Group by host, longest prefix first, as routes are looked up."""
+    """Group routes by host, longest prefix first, so the first match wins."""
     routes_by_host = {}
     for route in routes:
         routes_by_host.setdefault(route.host, []).append(route)
--- a/clementinewall/platform/settings.py
+++ b/clementinewall/platform/settings.py
@@ -1,7 +1,8 @@
 """The settings file that the platform writes for each process.
 
-It has the platform's format, not that of :mod:`clementinewall.settings`.
-New keys may appear at any time and are ignored.
+The file has the platform's format, not that of
+:mod:`clementinewall.settings`.  Unknown keys are ignored, since the platform
+may add some at any time.
 """
 
 import os
@@ -55,13 +56,15 @@
 
 
 def load(path=None):
-    """Read and check the file, by default the one that the platform names.
+    """Read and check a settings file, by default that of ``PATH_VARIABLE``.
 
-    :raises SettingsError: naming the file and each mistake in it.
+    :raises SettingsError: the file cannot be used; names each mistake.
     """
     path = path or os.environ.get(PATH_VARIABLE)
     if not path:
-        raise errors.SettingsError(f"{PATH_VARIABLE} is not set")
+        raise errors.SettingsError(
+            f"environment variable {PATH_VARIABLE} is not set"
+        )
     data = project_settings.read_toml(path)
     known, mistakes = _schema.build(_File, _drop_unknown_keys(_File, data))
     if known is not None:
@@ -72,7 +75,7 @@
 
 def _check_addresses(known):
     if not known.port_range:
-        yield _schema.Mistake("port_range", "[]", "one port or more")
+        yield _schema.Mistake("port_range", "[]", "at least one port")
     elif not 0 < known.port_range[0] <= MAX_PORT:
         found = str(known.port_range[0])
         yield _schema.Mistake("port_range[0]", found, f"1 to {MAX_PORT}")
@@ -93,7 +96,7 @@
 
 
 def _drop_unknown_keys(shape, data):
-    """Drop the keys that this version doesn't know, at every level."""
+    """Return ``data`` without unknown keys, at every level."""
     if not isinstance(data, dict):
         return data
     kept = {}
--- a/clementinewall/platform/store.py
+++ b/clementinewall/platform/store.py
@@ -1,8 +1,8 @@
-"""The one client of the platform's store, a log of topics.
+"""The client of the platform's store, which keeps a log for each topic.
 
-Each call may be refused, lost, or carried out seconds after it was given
-up.  A :class:`Store` has one connection for each task that uses it, so that
-a waiting read holds up nothing else.
+A call may be refused or lost, or take effect seconds after it timed out.
+Each task uses a :class:`Store` of its own, with its own connection, so that
+a waiting read delays no other task.
 """
 
 import base64
@@ -18,9 +18,9 @@
 from clementinewall.http1 import client
 from clementinewall.http1 import messages
 
-# Leaves time for the answer of a slow store.  A gateway that starts while the
-# store returns serves nobody until its first read, so a call that was lost
-# must not be waited for much longer.
+# Leaves a slow store time to answer.  It is not much longer, since a gateway
+# that starts while the store recovers serves nobody until its first read
+# succeeds, and waits this long for each lost call.
 CALL_TIMEOUT_MS = 700
 CONNECT_TIMEOUT_MS = 500
 MAX_ANSWER_BYTES = 8_000_000
@@ -37,31 +37,35 @@
 
 
 class Batch(typing.NamedTuple):
-    """Records in the order of their offsets, and where the log ends."""
+    """Records in the order of their offsets, and the end offset of the log."""
 
     records: tuple[Record, ...]
     end: int
 
 
 class HistoryExpired(Exception):
-    """The records asked for have expired; read the newest of each key."""
+    """The requested records have expired; read the newest of each key."""
 
 
 class Store:
-    """Calls to the store over one kept connection."""
+    """Calls to the store over one persistent connection."""
 
     def __init__(self, address, now):
-        """Talk to the store at ``address``."""
+        """Use the store at ``address`` (``host:port``).
+
+        ``now`` returns the time in milliseconds.
+        """
         self._pool = client.Pool(address, now, CONNECT_TIMEOUT_MS)
         self._host = address.encode()
 
     async def newest(self, topic):
         """Return the newest record of each key of a topic.
 
-        The end is that of the first page: pages are no snapshot, and what
-        changed between two of them is read again from there.
+        The batch's end is that of the first page.  The pages are no
+        consistent snapshot: a reader that continues from there also receives
+        what changed between two pages.
 
-        :raises LogUnavailable: the store doesn't answer.
+        :raises LogUnavailable: the store did not answer as expected.
         """
         records = []
         first_end = None
@@ -75,7 +79,9 @@
                 rows = [_decode_item(row) for row in data["items"]]
                 end = int(data["end_offset"])
             except (KeyError, TypeError, ValueError) as exc:
-                raise errors.LogUnavailable(f"bad page: {exc!r}") from exc
+                raise errors.LogUnavailable(
+                    f"cannot decode a page of newest records: {exc!r}"
+                ) from exc
             records.extend(rows)
             first_end = end if first_end is None else first_end
             if not data.get("has_more") or not rows:
@@ -83,10 +89,12 @@
             after = rows[-1].key
 
     async def read(self, topic, start, wait_ms=0):
-        """Return the records from ``start`` on, waiting if there are none.
+        """Return the records from offset ``start`` on.
 
-        :raises HistoryExpired: they have expired.
-        :raises LogUnavailable: the store doesn't answer.
+        If there are none yet, the store waits up to ``wait_ms`` for them.
+
+        :raises HistoryExpired: the records at ``start`` have expired.
+        :raises LogUnavailable: the store did not answer as expected.
         """
         query = {"topic": topic, "part": 0, "from": start}
         if wait_ms:
@@ -97,10 +105,11 @@
     async def append(self, topic, key, value, at=None):
         """Write the newest value of a key; return the record's offset.
 
-        With ``at`` it is written only if the topic ends there; ``None`` is
-        returned if it doesn't.
+        With ``at``, the record is written only if the topic ends at that
+        offset; otherwise ``None`` is returned.
 
-        :raises LogUnavailable: it was not written, or nothing is known.
+        :raises LogUnavailable: the record was not written, or its fate is
+            unknown.
         """
         name = key.encode()
         content = bytes([len(name)]) + name + (value or b"")
@@ -115,7 +124,9 @@
         try:
             return int(_decode_object(raw)["offset"])
         except (KeyError, TypeError, ValueError) as exc:
-            raise errors.LogUnavailable(f"bad answer: {exc!r}") from exc
+            raise errors.LogUnavailable(
+                f"cannot decode the answer to an append: {exc!r}"
+            ) from exc
 
     async def _get(self, path, query, wait_ms=0):
         target = f"{path}?{urllib.parse.urlencode(query)}"
@@ -133,13 +144,17 @@
                     request, MAX_ANSWER_BYTES
                 )
         except TimeoutError as exc:
-            raise errors.LogUnavailable(f"{target}: no answer") from exc
+            raise errors.LogUnavailable(
+                f"{target}: the store did not answer in time"
+            ) from exc
         except client.LinkBroken as exc:
             raise errors.LogUnavailable(f"{target}: {exc.why}") from exc
         if head.status == 410:
             raise HistoryExpired(target)
         if head.status not in expected:
-            raise errors.LogUnavailable(f"{target}: status {head.status}")
+            raise errors.LogUnavailable(
+                f"{target}: the store answered status {head.status}"
+            )
         return head.status, answer
 
     def close(self):
@@ -151,9 +166,11 @@
     try:
         data = json.loads(raw)
     except ValueError as exc:
-        raise errors.LogUnavailable(f"not JSON: {exc}") from exc
+        raise errors.LogUnavailable(
+            f"the store's answer is not JSON: {exc}"
+        ) from exc
     if not isinstance(data, dict):
-        raise errors.LogUnavailable("not an object")
+        raise errors.LogUnavailable("the store's answer is not a JSON object")
     return data
 
 
@@ -164,10 +181,12 @@
 
 def _decode_batch(raw, start):
     if len(raw) < _OFFSETS_FORMAT.size:
-        raise errors.LogUnavailable("a short answer")
+        raise errors.LogUnavailable(
+            "the store's answer is too short for its offsets"
+        )
     end, first = _OFFSETS_FORMAT.unpack_from(raw)
     if first > start:
-        raise HistoryExpired(f"first is {first}")
+        raise HistoryExpired(f"the first offset still stored is {first}")
     records = []
     position = _OFFSETS_FORMAT.size
     offset = start
--- a/tests/http1/test_stream.py
+++ b/tests/http1/test_stream.py
@@ -1,4 +1,4 @@
-"""Connections: all bytes in order, ends noticed, memory bounded."""
+"""Connections: byte order, detection of their end, bounded memory."""
 
 import contextlib
 import socket
@@ -14,7 +14,7 @@
 
 @contextlib.asynccontextmanager
 async def connected():
-    """Give a stream and the plain socket at its other end."""
+    """Yield a stream and the plain socket at its other end."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         address = "127.0.0.1:%d" % listener.getsockname()[1]
         stream = await streams.connect(address, 1_000)
@@ -25,7 +25,7 @@
 
 
 async def receive_until_end(stream):
-    """Return all that comes."""
+    """Return all bytes up to the end of the peer's data."""
     parts = []
     while part := await stream.receive(1_000):
         parts.append(part)
@@ -35,23 +35,23 @@
 class Stream(unittest.TestCase):
     """One connection with a plain socket as its peer."""
 
-    def test_all_bytes_then_the_end(self):
+    def test_all_bytes_are_received_before_the_end(self):
         async def run():
             async with connected() as (stream, peer):
                 peer.sendall(b"one ")
                 peer.sendall(b"two")
                 peer.shutdown(socket.SHUT_WR)
                 self.assertEqual(await receive_until_end(stream), b"one two")
-                # The peer sends no more but still reads.
+                # The peer has closed its sending side only and still reads.
                 await stream.send(b"answer")
                 self.assertEqual(peer.recv(100), b"answer")
 
         anyio.run(run)
 
-    def test_a_silent_peer_is_given_up(self):
-        """A peer without power answers nothing and closes nothing.
+    def test_receive_from_unresponsive_peer_times_out(self):
+        """A request would wait until its deadline for a peer that lost power.
 
-        Without the limit the caller's request would wait for its deadline.
+        Such a peer neither answers nor closes the connection.
         """
 
         async def run():
@@ -62,7 +62,9 @@
 
         anyio.run(run)
 
-    def test_a_wait_that_is_over_loses_no_bytes(self):
+    def test_stopped_wait_loses_no_bytes(self):
+        """Bytes that arrive after ``stop_waiting`` would be lost."""
+
         async def run():
             async with connected() as (stream, peer):
                 async with anyio.create_task_group() as group:
@@ -77,15 +79,15 @@
         anyio.run(run)
 
     async def expect_timeout(self, stream):
-        """Demand that nothing comes in time."""
+        """Assert that a receive times out."""
         with self.assertRaises(TimeoutError):
             await stream.receive(1_000)
 
-    def test_a_reset_is_no_end(self):
-        """An endpoint that crashes resets its connections.
+    def test_reset_is_reported_as_error_not_end(self):
+        """A truncated answer would be forwarded as complete.
 
-        Taken for the end of an answer that has no length, the part that came
-        would be passed on as the whole answer.
+        An endpoint that crashes resets its connections.  A reset taken for
+        the end of the data would complete an answer without a length.
         """
 
         async def run():
@@ -99,11 +101,10 @@
 
         anyio.run(run)
 
-    def test_a_peer_that_does_not_read_holds_up_the_sender(self):
-        """A caller on a choked link takes its answer slowly.
+    def test_send_waits_for_peer_that_does_not_read(self):
+        """Buffered bytes would count as sent and fill the process's memory.
 
-        Bytes that were only buffered here would count as sent, and would
-        fill the process's memory.
+        A caller on a congested link reads its answer slowly.
         """
 
         async def run():
@@ -113,11 +114,11 @@
 
         anyio.run(run)
 
-    def test_what_comes_ahead_is_bounded(self):
-        """A caller may send further requests while its first is served.
+    def test_unread_bytes_are_bounded(self):
+        """Requests sent ahead would fill the process's memory.
 
-        What is read ahead counts as memory of the process, so reading stops
-        at a bound and goes on when the bytes are taken; none is lost.
+        A caller may send further requests while its first is served.  Reading
+        pauses at a bound and resumes once the bytes are read; none is lost.
         """
 
         async def run():
@@ -135,27 +136,30 @@
 
         anyio.run(run)
 
-    def test_the_end_is_told_while_nobody_reads(self):
-        """A caller leaves while its request waits at an endpoint.
+    def test_close_is_reported_while_nobody_reads(self):
+        """An endpoint would keep working for a caller that disconnected.
 
-        Unnoticed, the endpoint would go on working for nobody.
+        The caller closes while its request waits at the endpoint, when no
+        task reads from the caller's connection.
         """
 
         async def run():
             async with connected() as (stream, peer):
-                told = anyio.Event()
-                stream.set_close_callback(told.set)
+                closed = anyio.Event()
+                stream.set_close_callback(closed.set)
                 peer.sendall(b"the next request")
                 peer.close()
                 with anyio.fail_after(1):
-                    await told.wait()
+                    await closed.wait()
                 late = []
                 stream.set_close_callback(lambda: late.append(True))
                 self.assertEqual(late, [True])
 
         anyio.run(run)
 
-    def test_a_task_that_waits_can_be_cancelled(self):
+    def test_cancelled_receive_loses_no_bytes(self):
+        """Bytes that arrive after a cancelled receive would be lost."""
+
         async def run():
             async with connected() as (stream, peer):
                 with anyio.move_on_after(0.02) as scope:
@@ -166,7 +170,7 @@
 
         anyio.run(run)
 
-    def test_nobody_listens(self):
+    def test_connecting_to_closed_port_fails(self):
         async def run():
             with socket.create_server(("127.0.0.1", 0)) as listener:
                 address = "127.0.0.1:%d" % listener.getsockname()[1]
@@ -177,12 +181,13 @@
 
 
 class Listen(unittest.TestCase):
-    """A listener that hands each connection to a task."""
+    """A listener that starts a task for each connection."""
 
-    def test_closing_it_keeps_what_was_accepted(self):
-        """A process that stops takes no new callers but serves those it has.
+    def test_closing_listener_keeps_accepted_connections(self):
+        """Requests that were sent in time would be cut off.
 
-        Closing what was accepted would cut requests that were sent in time.
+        A process that stops accepts no new callers, but must still serve the
+        connections that it has accepted.
         """
 
         async def serve(stream):
--- a/tests/platform/__init__.py
+++ b/tests/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of ``clementinewall.policy``."""
+"""Tests of ``clementinewall.platform``."""
--- a/tests/platform/test_calls.py
+++ b/tests/platform/test_calls.py
@@ -1,4 +1,4 @@
-"""Requests as callers send them and as endpoints get them."""
+"""Decoding callers' requests and building requests to endpoints."""
 
 import unittest
 
@@ -15,8 +15,8 @@
     (b"Prompt-Prefix", b"5c1e07a2:800,91bd3f06:410,e4402b7d:250"),
     (b"Deadline-Ms", b"5000"),
 )
-# What callers may not set: they would choose engines, jump queues or go on
-# from the memory of somebody else's prompt.
+# Headers that callers may not set: they would choose engines, jump queues or
+# continue from the KV cache of another caller's prompt.
 FORGED = (
     (b"KV-Fetch", b"10.0.0.9:1"),
     (b"kv-source", b"10.0.0.9:1/abc"),
@@ -49,9 +49,9 @@
 
 
 class Decode(unittest.TestCase):
-    """Requests of callers."""
+    """Decoding of callers' requests."""
 
-    def test_what_it_says(self):
+    def test_fields_are_decoded(self):
         call = decode()
         self.assertEqual(call.host, "shop.example")
         self.assertEqual(call.path, "/chat/x")
@@ -61,7 +61,7 @@
             [part.tokens for part in call.prompt.parts], [800, 410, 250]
         )
 
-    def test_no_id_and_no_host_are_refused(self):
+    def test_missing_attempt_id_or_host_is_refused(self):
         for missing in (b"Attempt-Id", b"Host"):
             headers = tuple(row for row in HEADERS if row[0] != missing)
             with self.assertRaises(errors.BadRequest):
@@ -69,9 +69,9 @@
 
 
 class ToEngines(unittest.TestCase):
-    """Requests to engines."""
+    """Building of requests to engines."""
 
-    def test_nothing_that_is_the_systems_comes_from_a_caller(self):
+    def test_reserved_headers_of_callers_are_dropped(self):
         call = decode(*FORGED)
         sent = calls.run_request(call, engine("e1"), 4_000)
         for name, value in FORGED:
@@ -79,24 +79,24 @@
         self.assertEqual(values(sent, b"expect-instance"), [b"e1"])
         self.assertEqual(values(sent, b"deadline-ms"), [b"4000"])
 
-    def test_the_prompt_is_the_callers(self):
+    def test_prompt_headers_target_and_body_are_forwarded(self):
         sent = calls.run_request(decode(), engine("e1"), 4_000)
         for name in (b"model", b"token-usage", b"prompt-prefix"):
             self.assertEqual(values(sent, name), [dict(_lower(HEADERS))[name]])
         self.assertEqual((sent.target, sent.body), (b"/chat/x?y=1", b"body"))
 
-    def test_where_a_beginning_is_fetched(self):
+    def test_fetch_source_is_sent_only_if_given(self):
         call = decode()
-        keeper = engine("keeper")
+        holder = engine("keeper")
         for sent in (
-            calls.prefill_request(call, engine("e1"), 4_000, 2, keeper),
-            calls.run_request(call, engine("e1"), 4_000, source=keeper),
+            calls.prefill_request(call, engine("e1"), 4_000, 2, holder),
+            calls.run_request(call, engine("e1"), 4_000, source=holder),
         ):
             self.assertEqual(values(sent, b"kv-fetch"), [b"keeper:1"])
         plain = calls.prefill_request(call, engine("e1"), 4_000, 2)
         self.assertEqual(values(plain, b"kv-fetch"), [])
 
-    def test_time_that_is_over_is_still_a_positive_number(self):
+    def test_expired_deadline_is_sent_as_one_millisecond(self):
         sent = calls.run_request(decode(), engine("e1"), -3)
         self.assertEqual(values(sent, b"deadline-ms"), [b"1"])
 
@@ -106,9 +106,9 @@
 
 
 class Caches(unittest.TestCase):
-    """What engines tell of the parts that they keep."""
+    """Decoding of engines' lists of cached prompt parts."""
 
-    def test_whole_list(self):
+    def test_complete_list(self):
         body = b'{"epoch":"x","next":7,"held":[["","5c1e",800,"m"]]}'
         found = calls.decode_cached_parts(body)
         part = domain.PromptPart("5c1e", 800)
@@ -123,7 +123,7 @@
         self.assertEqual([part.tokens for part in found.parts], [800, 0])
         self.assertTrue(found.is_gap)
 
-    def test_anything_else_is_a_bad_record(self):
+    def test_malformed_body_is_a_bad_record(self):
         bodies = (
             b"",
             b"[]",
--- a/tests/platform/test_records.py
+++ b/tests/platform/test_records.py
@@ -1,4 +1,4 @@
-"""Decoding what operators and endpoints wrote, and what others wrote."""
+"""Decoding the records of operators and endpoints, and malformed ones."""
 
 import json
 import unittest
@@ -44,7 +44,7 @@
 
 
 class Configuration(unittest.TestCase):
-    """Versions of the configuration."""
+    """Decoding of configuration versions."""
 
     def decode(self, *routes, services=({"name": "app"},)):
         """Return a decoded configuration."""
@@ -59,7 +59,7 @@
         self.assertIsNone(found.route_for("shop.example", "/b/"))
         self.assertIsNone(found.route_for("other.example", "/a/"))
 
-    def test_a_kind_that_is_not_known_may_not_run_twice(self):
+    def test_unknown_route_kind_is_not_idempotent(self):
         found = self.decode(route("r", "/a/", route_kind="novel"))
         chosen = found.route_for("shop.example", "/a/")
         self.assertFalse(chosen.idempotent)
@@ -79,13 +79,13 @@
 
 
 class Foreign(unittest.TestCase):
-    """Records that other writers left."""
+    """Records that other programs wrote to the same topics."""
 
     @hypothesis.given(JSON)
     @hypothesis.settings(derandomize=True, max_examples=300)
     def test_any_json_is_decoded_or_refused(self, data):
-        # Any other error would end the task that reads the topic, and the
-        # gateway would learn nothing new from then on.
+        # Any error but BadRecord would end the task that reads the topic, and
+        # the gateway would receive no further updates.
         raw = json.dumps(data).encode()
         for decode in (
             records.configuration,
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -1,4 +1,4 @@
-"""The settings that the platform writes."""
+"""Loading the settings file that the platform writes."""
 
 import pathlib
 import tempfile
@@ -29,7 +29,7 @@
 
 
 class Load(unittest.TestCase):
-    """``load`` with files that are good, new or wrong."""
+    """``load`` with valid files, unknown keys and invalid files."""
 
     def load(self, text):
         """Load a file with this text."""
@@ -38,19 +38,19 @@
             path.write_text(text)
             return settings.load(str(path))
 
-    def test_good_file_with_keys_that_are_not_known(self):
+    def test_valid_file_with_unknown_keys(self):
         found = self.load(GOOD)
         self.assertEqual(found.data_centre, "a")
         self.assertEqual(found.peer_port, 7_380)
         self.assertEqual(found.bounds.grace_ms, 8_000)
         self.assertEqual(found.bounds.retry_ratio, 0.25)
 
-    def test_the_link_is_known_or_not(self):
+    def test_link_bandwidth_is_optional(self):
         self.assertEqual(self.load(GOOD).link_mbps, 0.0)
-        told = GOOD + "[limits]\nlink_mbps = 10\nmax_fds = 4_100\n"
-        self.assertEqual(self.load(told).link_mbps, 10.0)
+        limited = GOOD + "[limits]\nlink_mbps = 10\nmax_fds = 4_100\n"
+        self.assertEqual(self.load(limited).link_mbps, 10.0)
 
-    def test_each_mistake_is_named(self):
+    def test_error_names_file_and_each_mistake(self):
         broken = GOOD.replace('zone = "a"', "zone = 7").replace(
             'front = "10.1.0.38:8149"', ""
         )
@@ -60,13 +60,13 @@
         self.assertIn("listen.front", caught.exception.message)
         self.assertIn("settings.toml", caught.exception.message)
 
-    def test_no_file_and_no_toml(self):
+    def test_missing_file_and_bad_syntax_are_refused(self):
         with self.assertRaises(errors.SettingsError):
             settings.load("/nowhere/settings.toml")
         with self.assertRaises(errors.SettingsError):
             self.load("not = = toml")
 
-    def test_values_that_no_process_can_use_are_named(self):
+    def test_error_names_unusable_values(self):
         for key, good, bad in (
             ("bounds.grace_s", "grace_s = 8", "grace_s = inf"),
             ("bounds.grace_s", "grace_s = 8", "grace_s = nan"),
@@ -81,7 +81,7 @@
                     self.load(GOOD.replace(good, bad))
                 self.assertIn(f"{key}: found", caught.exception.message)
 
-    def test_toml_that_the_parser_gives_up_on_is_refused(self):
+    def test_toml_beyond_parser_limits_is_refused(self):
         for text in ("a = " + "[" * 20_000, "a = " + "9" * 5_000):
             with self.subTest(text[:8]):
                 with self.assertRaises(errors.SettingsError) as caught:
