--- a/clementinewall/endpoints/__init__.py
+++ b/clementinewall/endpoints/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of the engines and services."""
+"""Clients for engines and services, and decoding of what they send."""
--- a/clementinewall/endpoints/attempt.py
+++ b/clementinewall/endpoints/attempt.py
@@ -1,6 +1,7 @@
-"""One HTTP attempt at an endpoint, with how far its bytes came.
+"""One HTTP attempt at an endpoint, with the verdict if it fails.
 
-The verdict of a failed attempt is decided here, from where it broke.
+The verdict says whether the call may have run.  It follows from how much of
+the request had been sent when the attempt failed.
 """
 
 import anyio
@@ -24,7 +25,7 @@
 
 
 def progress_of(exc):
-    """Return how far an attempt came that ended in ``exc``."""
+    """Return the progress of an attempt that ended with ``exc``."""
     if isinstance(exc, _NEVER_CONNECTED):
         return verdicts.Progress.NEVER_CONNECTED
     if isinstance(exc, _SENT_IN_PART):
@@ -33,35 +34,41 @@
 
 
 def failure(endpoint_id, exc):
-    """Return the error for an attempt that ended in ``exc``."""
+    """Return the error and verdict of an attempt that ended with ``exc``."""
     verdict = verdicts.verdict_of(progress_of(exc))
-    what = type(exc).__name__
-    return errors.EndpointFailed(f"{endpoint_id}: {what}", verdict)
+    name = type(exc).__name__
+    return errors.EndpointFailed(
+        f"{endpoint_id}: attempt failed: {name}", verdict
+    )
 
 
 def is_refusal(answer):
-    """Tell whether the endpoint says that it did not run the call.
+    """Tell whether the endpoint reports that it did not run the call.
 
-    A plain 503 proves nothing: something between may have answered it
-    after the endpoint ran the call.  Only the endpoint's own mark counts.
+    Only the endpoint's own header proves that.  A plain 503 does not: an
+    intermediary may have sent it after the endpoint ran the call.
     """
     return answer.headers.get(NOT_RUN_HEADER) == "1"
 
 
 def stream_client():
-    """Return a client for streams, which keeps connections open."""
+    """Return a client for streams, which reuses its connections."""
     return _http.client(None, CONNECT_TIMEOUT_MS)
 
 
 def single_call_client():
-    """Return a client for calls that may not be repeated."""
+    """Return a client for calls that are not idempotent.
+
+    It opens a new connection for each call.
+    """
     return _http.client(None, CONNECT_TIMEOUT_MS, keeps_connections=False)
 
 
 async def call(client, endpoint_id, request, timeout_ms):
-    """Send a whole request and return its answer.
+    """Send a request and return its complete answer.
 
-    :raises EndpointFailed: with the verdict for where it broke.
+    :raises EndpointFailed: there was none within ``timeout_ms``; the verdict
+        says whether the call may have run.
     """
     try:
         with anyio.fail_after(clock.seconds(timeout_ms)):
@@ -75,6 +82,7 @@
         raise failure(endpoint_id, exc) from exc
     if is_refusal(answer):
         raise errors.EndpointFailed(
-            f"{endpoint_id}: refused", verdicts.Verdict.NOT_RUN
+            f"{endpoint_id}: refused the call without running it",
+            verdicts.Verdict.NOT_RUN,
         )
     return answer
--- a/clementinewall/endpoints/reports.py
+++ b/clementinewall/endpoints/reports.py
@@ -1,4 +1,4 @@
-"""The load report that an endpoint gives at ``GET /state``."""
+"""The load report that an endpoint returns for ``GET /state``."""
 
 import typing
 
@@ -10,12 +10,12 @@
 
 
 class Report(typing.NamedTuple):
-    """The load report of an endpoint; a service sends the short form.
+    """The load report of an endpoint; a service sends only some fields.
 
-    ``arrived``, ``prefill_done`` (tokens) and ``decode_done`` (tokens) only
-    ever grow while the endpoint's ``boot`` stays the same.  ``prefill_us``
-    is the time for a prompt token, ``gap_ms`` the time between tokens up to
-    ``slots`` streams.
+    ``arrived`` (calls), ``prefill_done`` (tokens) and ``decode_done`` (tokens)
+    are counters that never decrease while the endpoint's ``boot`` stays the
+    same.  ``prefill_us`` is the prefill time for one prompt token, ``gap_ms``
+    the time between two tokens of a stream with up to ``slots`` streams.
     """
 
     kind: str
@@ -39,36 +39,40 @@
     boot: str = ""
 
 
-# The header by which an engine sends its report along with an answer.
+# The header in which an engine adds its report to an answer.
 HEADER = "engine-load"
 
 
 async def fetch(http, endpoint_id, address):
-    """Return the endpoint's report.
+    """Request and return the endpoint's report.
 
-    :raises EndpointFailed: ``NOT_RUN`` if nobody listens at the address.
+    :raises EndpointFailed: there is no valid report; the verdict is
+        ``NOT_RUN`` after an ``httpx.ConnectError``.
     """
     try:
         answer = await http.get(f"http://{address}/state")
         data = answer.json()
     except httpx.ConnectError as exc:
         raise errors.EndpointFailed(
-            f"{endpoint_id} is out of reach", verdicts.Verdict.NOT_RUN
+            f"{endpoint_id}: cannot connect for its report",
+            verdicts.Verdict.NOT_RUN,
         ) from exc
     except (httpx.HTTPError, ValueError) as exc:
         raise errors.EndpointFailed(
-            f"{endpoint_id}: {type(exc).__name__}"
+            f"{endpoint_id}: cannot read its report: {type(exc).__name__}"
         ) from exc
     try:
         return decode(data)
     except errors.BadRecord as exc:
-        raise errors.EndpointFailed(f"{endpoint_id}: {exc}") from exc
+        raise errors.EndpointFailed(
+            f"{endpoint_id}: invalid report: {exc}"
+        ) from exc
 
 
 def decode(data):
-    """Check a report.
+    """Decode and check a report.
 
-    :raises BadRecord: it does not have the shape of one.
+    :raises BadRecord: a field is missing or invalid; names the first.
     """
     report, mistakes = _schema.build(Report, data)
     if mistakes:
--- a/clementinewall/endpoints/sse.py
+++ b/clementinewall/endpoints/sse.py
@@ -1,10 +1,11 @@
-"""Server-sent events with positions, and the rule by which they pass.
+"""Server-sent events with positions, forwarded once each and in order.
 
 An engine numbers its events with ``id:`` from 1 on; the last event is
 ``data: [DONE]`` and is numbered too.  The numbers are absolute: an event
-whose number was passed on before is dropped, and one that would leave a gap
-stops the stream at the last good position.  Events pass as the bytes that
-came; only their number is looked at.
+whose number was forwarded before is dropped, and one that would leave a gap
+ends the stream at the last position without a gap.  Events are forwarded
+as received, apart from CRLF, which becomes LF; only their number and end mark
+are parsed.
 """
 
 import typing
@@ -16,7 +17,7 @@
 
 
 class Event(typing.NamedTuple):
-    """One event: its bytes with the blank line, position and data."""
+    """One event: its bytes with the final blank line, position and data."""
 
     raw: bytes
     position: int | None
@@ -29,24 +30,25 @@
 
 
 class Splitter:
-    """Cuts a byte stream into events, whatever the pieces it comes in."""
+    """Splits a byte stream, received in any pieces, into events."""
 
     def __init__(self):
-        """Start with nothing buffered."""
+        """Start with an empty buffer."""
         self._incomplete = b""
 
     def feed(self, piece):
-        """Return the events that are whole after ``piece``.
+        """Return the events that ``piece`` completes.
 
-        :raises EndpointFailed: an event is over ``MAX_EVENT_BYTES`` bytes.
+        :raises EndpointFailed: the incomplete event has over
+            ``MAX_EVENT_BYTES`` bytes.
         """
         data = self._incomplete + piece
         if b"\r" in data:
-            # A pair that is cut between its halves stays in the rest.
+            # A CR whose LF is still to come stays in the incomplete event.
             data = data.replace(b"\r\n", b"\n")
         *blocks, self._incomplete = data.split(b"\n\n")
         if len(self._incomplete) > MAX_EVENT_BYTES:
-            raise errors.EndpointFailed("an event is too long")
+            raise errors.EndpointFailed("an event exceeds the size limit")
         return [_parse(block) for block in blocks if block]
 
 
@@ -64,7 +66,7 @@
 
 
 class Sequence:
-    """Lets each position through once, in order."""
+    """Accepts each position once and in order."""
 
     def __init__(self, delivered=0):
         """Start after the position ``delivered``."""
@@ -72,7 +74,7 @@
         self.finished = False
 
     def accept(self, event):
-        """Return whether to pass the event on; ``False`` drops it.
+        """Return whether to forward the event; ``False`` drops it.
 
         :raises StreamCut: the event would leave a gap.
         """
@@ -82,7 +84,8 @@
             return False
         if event.position != self.delivered + 1:
             raise errors.StreamCut(
-                f"position {event.position} follows {self.delivered}"
+                f"gap in the stream: position {event.position} follows "
+                f"{self.delivered}"
             )
         self.delivered = event.position
         self.finished = event.is_last
--- a/tests/endpoints/test_attempt.py
+++ b/tests/endpoints/test_attempt.py
@@ -1,4 +1,4 @@
-""" "Not run" is true: verdicts at every place where an attempt can fail."""
+"""Verdicts of attempts that fail at each point of the exchange."""
 
 import socket
 import threading
@@ -15,12 +15,12 @@
     b"HTTP/1.1 503 No\r\nNot-Run: 1\r\nContent-Length: 0\r\n"
     b"Connection: close\r\n\r\n"
 )
-# More than any call here: the server reads until nothing more comes.
-WHOLE_CALL = 100_000
+# More bytes than any call has: the server reads until its time-out.
+READ_ALL_BYTES = 100_000
 
 
 class OneShotServer:
-    """Accepts one connection, reads so much, answers so much, closes."""
+    """Accepts one connection, reads up to ``read`` bytes, answers, closes."""
 
     def __init__(self, read, answer):
         """Listen on a free port of the loopback address."""
@@ -46,7 +46,7 @@
             connection.sendall(self._answer)
 
     def join(self):
-        """Wait for the end and return the bytes that were read."""
+        """Wait for the end and return the number of bytes read."""
         self._thread.join(5)
         return self.got
 
@@ -69,18 +69,23 @@
 
 
 class VerdictTest(unittest.TestCase):
-    """Where an attempt breaks decides what is said of it."""
+    """The point at which an attempt fails decides its verdict."""
 
-    def test_nobody_listens(self):
-        """The endpoint is gone; nothing reached it."""
+    def test_refused_connection_is_not_run(self):
+        """A call that was never sent would not be retried.
+
+        Nothing listens at the address of a stopped endpoint, so the call
+        cannot have run.
+        """
         with socket.create_server(("127.0.0.1", 0)) as listener:
             port = listener.getsockname()[1]
         self.assertIs(verdicts.Verdict.NOT_RUN, call(port).verdict)
 
-    def test_broken_off_after_any_number_of_bytes(self):
-        """The endpoint read a part or all of the call and then died.
+    def test_close_after_any_number_of_bytes_may_have_run(self):
+        """A call that ran would be repeated.
 
-        It may have acted on what it read, so "not run" would be a lie.
+        The endpoint read a part or all of the call, may have acted on it, and
+        then crashed.
         """
         for read in (0, 1, 40, 150, 100_000):
             server = OneShotServer(read, b"")
@@ -88,28 +93,35 @@
             server.join()
             self.assertIs(verdicts.Verdict.MAY_HAVE_RUN, error.verdict, read)
 
-    def test_the_answer_is_cut(self):
-        """The call ran; its answer broke off in the middle."""
+    def test_truncated_answer_may_have_run(self):
+        """A call that ran would be repeated.
+
+        The connection closed in the middle of the answer.
+        """
         for size in (1, 10, len(ANSWER) - 1):
             server = OneShotServer(1, ANSWER[:size])
             error = call(server.port)
             server.join()
             self.assertIs(verdicts.Verdict.MAY_HAVE_RUN, error.verdict)
 
-    def test_a_refusal_needs_the_endpoints_own_mark(self):
-        """Only the mark proves it: anything between may answer 503."""
+    def test_refusal_counts_only_with_the_not_run_header(self):
+        """A call that ran would be repeated.
+
+        An intermediary may answer 503 after the endpoint ran the call; only
+        the endpoint's own header proves that it did not run.
+        """
         # The server reads the whole call: closing with unread bytes resets
         # the connection, and the reset may overtake the answer.
-        server = OneShotServer(WHOLE_CALL, REFUSAL)
+        server = OneShotServer(READ_ALL_BYTES, REFUSAL)
         self.assertIs(verdicts.Verdict.NOT_RUN, call(server.port).verdict)
         server.join()
         plain = REFUSAL.replace(b"Not-Run: 1\r\n", b"")
-        server = OneShotServer(WHOLE_CALL, plain)
+        server = OneShotServer(READ_ALL_BYTES, plain)
         self.assertEqual(503, call(server.port))
         server.join()
 
-    def test_only_not_run_may_be_tried_again(self):
-        """The rule for a call that is not idempotent."""
+    def test_only_not_run_may_be_retried(self):
+        """A call that is not idempotent would run twice."""
         for progress in verdicts.Progress:
             verdict = verdicts.verdict_of(progress)
             sent = verdicts.Progress.SENT_IN_PART <= progress
