--- a/bench/losses.py
+++ b/bench/losses.py
@@ -21,7 +21,7 @@
 
 import docopt
 
-from clementinewall.operator import story
+from clementinewall.operator import request_trace
 
 # A first event that comes so much after the prediction is the fault of the
 # prediction.
@@ -105,7 +105,7 @@
     """Yield the lines of a run's output with their second of the day."""
     with open(path) as file:
         for text in file:
-            for line in story.read([[text]]):
+            for line in request_trace.read([[text]]):
                 try:
                     yield float(text.split()[0]), line
                 except ValueError:
--- a/clementinewall/entry/app.py
+++ b/clementinewall/entry/app.py
@@ -113,10 +113,10 @@
     async def _read_body(self, request, context):
         """Read the body of work that has the time to end here."""
         deadline_ms = context.work_class.deadline_ms
-        self._node.check_time(deadline_ms)
+        self._node.check_remaining_time(deadline_ms)
         raw = await _web.read_body(request, self._node.settings.limits)
         # The deadline counts from here, and a slow body takes its time too.
-        self._node.check_time(deadline_ms)
+        self._node.check_remaining_time(deadline_ms)
         return raw
 
     async def _on_addresses(self, _request):
--- a/clementinewall/entry/program.py
+++ b/clementinewall/entry/program.py
@@ -65,7 +65,7 @@
                 _web.serve, self.callers.application(), listen.callers, closed
             )
             _log.info("started", callers=listen.callers, boot=self.node.boot)
-            self.node.life.note(lifecycle.Event.STARTED)
+            self.node.lifecycle.handle_event(lifecycle.Event.STARTED)
             await self.node.stopping.wait()
             end = await self._drain()
             closed.set()
@@ -80,7 +80,7 @@
         """
         limits = self.node.settings.limits
         end = self.node.drain_end = self.node.clock.now() + limits.drain_ms
-        await self.node.leave()
+        await self.node.announce_draining()
         # Callers kept the answer that names this entry for so long, and
         # still come with new work in good faith.
         await anyio.sleep(clock.seconds(limits.keep_addresses_ms))
@@ -97,19 +97,19 @@
         return lifecycle.Event.DRAINED
 
     async def _on_outcomes(self, request):
-        self.node.check(request)
+        self.node.require_token(request)
         by_model = self.relay.outcomes.by_model
         return responses.JSONResponse(_schema.plain(by_model))
 
     async def _on_booking(self, request):
-        self.node.check(request)
+        self.node.require_token(request)
         body = await _web.read_json(request, self.node.settings.limits)
         call, mistakes = _schema.build(calls.Call, body)
         if mistakes:
             raise errors.BadRecord(str(mistakes[0]))
         if not self.node.is_ready():
             raise errors.NotReady("no configuration is known yet")
-        self.node.check_time(call.deadline_ms)
+        self.node.check_remaining_time(call.deadline_ms)
         self._owned_bookings += 1
         try:
             answer = await self.calls.run_as_owner(call)
--- a/clementinewall/errors.py
+++ b/clementinewall/errors.py
@@ -97,7 +97,7 @@
     status = 503
 
 
-class Leaving(NotRunError):
+class Draining(NotRunError):
     """This instance is stopping; connect to another one."""
 
     code = "leaving"
--- a/clementinewall/gateway/callers.py
+++ b/clementinewall/gateway/callers.py
@@ -226,7 +226,7 @@
             return errors.Stopped(
                 "the instance stopped before the answer was complete"
             )
-        return errors.Leaving("the instance stopped", retry_after_ms=0)
+        return errors.Draining("the instance stopped", retry_after_ms=0)
 
     async def _fail(self, connection, request, exchange, error):
         attempt = request.header(calls.ATTEMPT) or b""
--- a/clementinewall/gateway/draining.py
+++ b/clementinewall/gateway/draining.py
@@ -111,7 +111,7 @@
             left_ms=round(left_ms),
         )
         # Another instance can serve it at once.
-        raise errors.Leaving("this instance is stopping", retry_after_ms=0)
+        raise errors.Draining("this instance is stopping", retry_after_ms=0)
 
 
 def _tokens_out(exchange):
--- a/clementinewall/gateway/program.py
+++ b/clementinewall/gateway/program.py
@@ -49,7 +49,7 @@
         ticker = clock.Clock()
         now = ticker.now
         self._settings = settings
-        self._stopping = life.leaving
+        self._stopping = life.draining
         self._now = now
         self._now_with_suspend = ticker.now_with_suspend
         self._group = group
@@ -155,7 +155,7 @@
             data_centre=settings.data_centre,
             store=settings.store,
         )
-        self._life.note(lifecycle.Event.STARTED)
+        self._life.handle_event(lifecycle.Event.STARTED)
         await self._stopping.wait()
         await self._drain(caller_listener, info_listeners)
         if self._callers.open_requests:
--- a/clementinewall/gateway/stream_relay.py
+++ b/clementinewall/gateway/stream_relay.py
@@ -167,7 +167,7 @@
         """
         try:
             self._drain.check_stream(exchange, 0)
-        except errors.Leaving:
+        except errors.Draining:
             self._group.start_soon(
                 self._free_handle, plan.prefill_engine, prefilled
             )
--- a/clementinewall/lifecycle.py
+++ b/clementinewall/lifecycle.py
@@ -22,7 +22,7 @@
 
     STARTING = "starting"
     SERVING = "serving"
-    LEAVING = "leaving"
+    DRAINING = "leaving"
     ENDED = "ended"
 
 
@@ -40,13 +40,13 @@
 
 _NEXT = {
     (State.STARTING, Event.STARTED): State.SERVING,
-    (State.STARTING, Event.STOP): State.LEAVING,
+    (State.STARTING, Event.STOP): State.DRAINING,
     (State.STARTING, Event.ABORT): State.ENDED,
-    (State.SERVING, Event.STOP): State.LEAVING,
+    (State.SERVING, Event.STOP): State.DRAINING,
     (State.SERVING, Event.ABORT): State.ENDED,
-    (State.LEAVING, Event.ABORT): State.ENDED,
-    (State.LEAVING, Event.DRAINED): State.ENDED,
-    (State.LEAVING, Event.OUT_OF_TIME): State.ENDED,
+    (State.DRAINING, Event.ABORT): State.ENDED,
+    (State.DRAINING, Event.DRAINED): State.ENDED,
+    (State.DRAINING, Event.OUT_OF_TIME): State.ENDED,
 }
 
 
@@ -67,7 +67,7 @@
 
 
 class Lifecycle:
-    """The state of this process; ``leaving`` is set when it has to stop.
+    """The state of this process; ``draining`` is set when it has to stop.
 
     ``settings`` are in force until the process ends.
     """
@@ -80,7 +80,7 @@
         """
         self.settings = settings
         self.state = State.STARTING
-        self.leaving = anyio.Event()
+        self.draining = anyio.Event()
         self._inbox = inbox
         self._read_settings = read_settings
         self._interrupts = 0
@@ -103,9 +103,9 @@
             event = event_of(number, self._interrupts)
             if number == signal.SIGINT:
                 self._interrupts += 1
-            self.note(event, signals.name_of(number))
+            self.handle_event(event, signals.name_of(number))
 
-    def note(self, event, by=None):
+    def handle_event(self, event, by=None):
         """Take an event, which the signal named ``by`` may have caused."""
         before = self.state
         self.state = next_state(before, event)
@@ -116,8 +116,8 @@
             _log.info("state changed", before=before.value, **fields)
         else:
             _log.info("state unchanged", **fields)
-        if self.state is State.LEAVING:
-            self.leaving.set()
+        if self.state is State.DRAINING:
+            self.draining.set()
         if event is Event.RELOAD:
             self._compare_settings()
         if event is Event.ABORT and before is not State.ENDED:
@@ -175,9 +175,9 @@
     async with anyio.create_task_group() as group:
         await group.start(_watch, life, flush)
         end = Event.DRAINED
-        if not life.leaving.is_set():
+        if not life.draining.is_set():
             end = await serve(life)
-        life.note(end)
+        life.handle_event(end)
         group.cancel_scope.cancel()
 
 
--- a/clementinewall/node.py
+++ b/clementinewall/node.py
@@ -35,7 +35,7 @@
     def __init__(self, life, program):
         """Take the process's life cycle and the program's short name."""
         settings = life.settings
-        self.life = life
+        self.lifecycle = life
         self.settings = settings
         self.clock = clock.Clock()
         self.boot = secrets.token_hex(BOOT_BYTES)
@@ -55,7 +55,7 @@
         self.log = client.LogClient(settings)
         self.tail = tail.Tail(settings, self.log, self.members, self.clock.now)
         self.gossip = gossip.Gossiper(settings, self.members, self.crashes)
-        self.stopping = life.leaving
+        self.stopping = life.draining
         self.closed = anyio.Event()
         self.drain_end = None
 
@@ -73,7 +73,7 @@
         """Tell whether there is a configuration to work by."""
         return self.tail.state.version >= 0 and self.tail.caught_up
 
-    def check_time(self, deadline_ms):
+    def check_remaining_time(self, deadline_ms):
         """Refuse work that may outlast the drain of this process.
 
         :raises NotReady: less than ``deadline_ms`` is left.
@@ -88,7 +88,7 @@
                 retry_after_ms=1_000,
             )
 
-    def in_force(self):
+    def active_version(self):
         """Return the version in force and how far the stream is read."""
         state = self.tail.state
         return state.version, state.next
@@ -96,9 +96,9 @@
     async def run(self, group):
         """Start the node's tasks in ``group``."""
         group.start_soon(self.tail.run)
-        group.start_soon(self.gossip.run, self.in_force)
+        group.start_soon(self.gossip.run, self.active_version)
 
-    async def leave(self):
+    async def announce_draining(self):
         """Tell the peers that this process is leaving."""
         self.members.mark_draining()
         await self.gossip.announce()
@@ -116,12 +116,12 @@
             routing.Route("/metrics", _on_metrics),
         ]
 
-    def check(self, request):
+    def require_token(self, request):
         """Let only holders of the control token pass."""
         _web.check_token(request, self.settings.security.control_token)
 
     async def _on_relay(self, request):
-        self.check(request)
+        self.require_token(request)
         start = _web.read_number(request, "from", 0)
         wait_ms = _web.read_number(request, "wait_ms", 0)
         if start >= self.tail.state.next and wait_ms:
@@ -129,7 +129,7 @@
         return responses.JSONResponse(_schema.plain(self.tail.relay(start)))
 
     async def _on_status(self, request):
-        self.check(request)
+        self.require_token(request)
         return responses.JSONResponse(self.status())
 
     def status(self):
@@ -155,7 +155,7 @@
         }
 
     async def _on_explain(self, request):
-        self.check(request)
+        self.require_token(request)
         about = request.query_params.get("about", "")
         if not about:
             raise errors.BadRequest("say what to explain with ?about=")
--- a/clementinewall/operator/main.py
+++ b/clementinewall/operator/main.py
@@ -42,8 +42,8 @@
 import docopt
 
 from clementinewall import errors
+from clementinewall.operator import request_trace
 from clementinewall.operator import session
-from clementinewall.operator import story
 from clementinewall.operator import tables
 from clementinewall.records import configuration
 from clementinewall import settings
@@ -71,7 +71,7 @@
     document = settings.read_toml(options["FILE"])
     configuration.flatten(document)
     if options["--anew"]:
-        offset = await live.publish_anew(document)
+        offset = await live.publish_initial(document)
         return {"version": offset, "changed": "all"}, 0
     outcome, differences = await live.publish(document)
     if outcome is None:
@@ -102,7 +102,7 @@
 async def _wait(options, live):
     version = _number(options["VERSION"], "VERSION")
     timeout = _number(options["--timeout-ms"], "--timeout-ms")
-    behind = await live.wait_in_force(version, timeout)
+    behind = await live.wait_active(version, timeout)
     code = EXIT_NOT_IN_FORCE if behind else 0
     return {"version": version, "behind": behind}, code
 
@@ -153,7 +153,7 @@
     return await live.explain(options["ABOUT"]), 0
 
 
-async def _story(options, _live):
+async def _request_trace(options, _live):
     """Tell a request from log files; nothing is asked of the system."""
     with contextlib.ExitStack() as stack:
         try:
@@ -165,10 +165,12 @@
             raise errors.SettingsError(
                 f"{exc.filename}: {exc.strerror}"
             ) from exc
-        found, decider = story.tell(story.read(files), options["REQUEST"])
+        found, decider = request_trace.collect(
+            request_trace.read(files), options["REQUEST"]
+        )
     if options["--json"]:
         return [line._asdict() for line in found], 0 if found else EXIT_FAILED
-    return story.text(found, decider), 0 if found else EXIT_FAILED
+    return request_trace.render(found, decider), 0 if found else EXIT_FAILED
 
 
 _COMMANDS = {
@@ -183,7 +185,7 @@
     "serve": functools.partial(_edit, state="serving"),
     "replace": _replace,
     "explain": _explain,
-    "story": _story,
+    "story": _request_trace,
 }
 # These work on files alone.
 _OFFLINE = ("check", "story")
--- a/clementinewall/operator/story.py
+++ b/clementinewall/operator/request_trace.py
@@ -57,7 +57,7 @@
                 continue
 
 
-def tell(lines, request):
+def collect(lines, request):
     """Return the lines about a request, in order, and the deciding one.
 
     Beside its own lines these are the changes that the gateways noted of
@@ -129,13 +129,13 @@
     }
 
 
-def text(story, decider):
-    """Return a story as text for a person."""
-    if not story:
+def render(trace, decider):
+    """Return a trace as text for a person."""
+    if not trace:
         return "no line about this request: it reached none of these processes"
-    first = story[0].time
+    first = trace[0].time
     rows = []
-    for line in story:
+    for line in trace:
         mark = ">" if line is decider else " "
         fields = " ".join(
             f"{key}={value}"
--- a/clementinewall/operator/session.py
+++ b/clementinewall/operator/session.py
@@ -151,7 +151,7 @@
                     raise
         raise AssertionError("the loop returns or raises")
 
-    async def publish_anew(self, document):
+    async def publish_initial(self, document):
         """Write a first state after the log lost everything.
 
         :raises Conflict: somebody still knows the state.
@@ -192,7 +192,7 @@
                     waiting.append(row["control"])
         return status_by_id
 
-    async def wait_in_force(self, version, timeout_ms):
+    async def wait_active(self, version, timeout_ms):
         """Return the ids of live processes still behind ``version``."""
         end = self.clock.now() + timeout_ms
         while True:
--- a/clementinewall/platform/settings.py
+++ b/clementinewall/platform/settings.py
@@ -66,7 +66,7 @@
     known, mistakes = _schema.build(_File, _only_known(_File, data))
     if known is not None:
         mistakes += tuple(_check_addresses(known))
-    project_settings.refuse(path, mistakes)
+    project_settings.raise_mistakes(path, mistakes)
     return _translate(known)
 
 
--- a/clementinewall/settings.py
+++ b/clementinewall/settings.py
@@ -150,7 +150,7 @@
     :raises SettingsError: naming the file, and each mistake in it.
     """
     value, mistakes = _schema.build(shape, read_toml(path))
-    refuse(path, list(mistakes) + _cross_checks(value))
+    raise_mistakes(path, list(mistakes) + _cross_checks(value))
     return value
 
 
@@ -168,7 +168,7 @@
         raise errors.SettingsError(f"{path}: not TOML: {exc}") from exc
 
 
-def refuse(path, mistakes):
+def raise_mistakes(path, mistakes):
     """Refuse a file with mistakes.
 
     :raises SettingsError: naming the file, and each of the mistakes.
--- a/clementinewall/steward/orders.py
+++ b/clementinewall/steward/orders.py
@@ -169,7 +169,7 @@
 
     async def _on_order(self, request):
         """Check another steward's order against the log, then write it."""
-        self._node.check(request)
+        self._node.require_token(request)
         body = await _web.read_json(request, self._node.settings.limits)
         order, mistakes = _schema.build(Order, body)
         if mistakes:
--- a/tests/operator/test_story.py
+++ b/tests/operator/test_request_trace.py
@@ -9,7 +9,7 @@
 import unittest
 
 from clementinewall.operator import main
-from clementinewall.operator import story
+from clementinewall.operator import request_trace
 
 
 def line(time, instance, message, **fields):
@@ -40,7 +40,7 @@
     def tell(self, request):
         """Tell a request from both logs, given in the wrong order."""
         files = [io.StringIO(self.two), io.StringIO(self.one)]
-        return story.tell(story.read(files), request)
+        return request_trace.collect(request_trace.read(files), request)
 
     def test_own_lines_and_changes_of_its_endpoint_in_order(self):
         found, decider = self.tell("r1")
@@ -55,11 +55,15 @@
             ],
         )
         self.assertEqual(decider.message, "stream: attempt failed")
-        self.assertIn(">      300 ms  g1", story.text(found, decider))
+        self.assertIn(
+            ">      300 ms  g1", request_trace.render(found, decider)
+        )
 
     def tell_lines(self, *lines):
         """Tell the request ``r1`` from lines of one gateway."""
-        return story.tell(story.read([io.StringIO("".join(lines))]), "r1")
+        return request_trace.collect(
+            request_trace.read([io.StringIO("".join(lines))]), "r1"
+        )
 
     def test_a_failure_that_was_handed_on_is_the_cause(self):
         # Two endpoints in a row answer 500, and the second 500 is what the
@@ -116,12 +120,12 @@
     def test_unknown_request(self):
         found, decider = self.tell("r3")
         self.assertEqual((found, decider), ([], None))
-        self.assertIn("no line", story.text(found, decider))
+        self.assertIn("no line", request_trace.render(found, decider))
 
     def test_missing_file_is_named(self):
         options = {"LOG": ["/nowhere/x.log"], "REQUEST": "r", "--json": None}
         with self.assertRaisesRegex(main.errors.SettingsError, "/nowhere"):
-            main.anyio.run(main._story, options, None)
+            main.anyio.run(main._request_trace, options, None)
 
     def test_command_reads_files(self):
         with tempfile.TemporaryDirectory() as folder:
@@ -132,7 +136,7 @@
                 "REQUEST": "r1",
                 "--json": None,
             }
-            text, code = main.anyio.run(main._story, options, None)
+            text, code = main.anyio.run(main._request_trace, options, None)
         self.assertEqual(code, 0)
         self.assertIn("endpoint gone", text)
 
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -20,7 +20,7 @@
         "serving leaving ended starting starting starting starting"
     ),
     State.SERVING: "serving leaving ended serving serving serving serving",
-    State.LEAVING: "leaving leaving ended leaving leaving ended ended",
+    State.DRAINING: "leaving leaving ended leaving leaving ended ended",
     State.ENDED: "ended ended ended ended ended ended ended",
 }
 ORDER = tuple(State)
@@ -120,15 +120,15 @@
 
     def test_signals_before_the_watch_count(self):
         life = self.watched(self.make(signal.SIGHUP, signal.SIGTERM))
-        self.assertIs(life.state, State.LEAVING)
-        self.assertTrue(life.leaving.is_set())
+        self.assertIs(life.state, State.DRAINING)
+        self.assertTrue(life.draining.is_set())
 
     def test_further_signals_do_not_leave_twice(self):
         life = self.watched(self.make(signal.SIGTERM))
         for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGINT):
             self.pipe.send(number)
             self.watched(life)
-            self.assertIs(life.state, State.LEAVING)
+            self.assertIs(life.state, State.DRAINING)
 
     def test_a_second_interrupt_ends_the_watch(self):
         life = self.make(signal.SIGINT, signal.SIGINT)
@@ -137,8 +137,8 @@
 
     def test_started_after_a_stop_does_not_serve(self):
         life = self.watched(self.make(signal.SIGTERM))
-        life.note(Event.STARTED)
-        self.assertIs(life.state, State.LEAVING)
+        life.handle_event(Event.STARTED)
+        self.assertIs(life.state, State.DRAINING)
 
     def test_an_invalid_file_keeps_the_settings(self):
         def read():
