--- a/clementinewall/entry/app.py
+++ b/clementinewall/entry/app.py
@@ -121,10 +121,10 @@
         :raises NotReady: the process may end before the deadline.
         """
         deadline_ms = context.work_class.deadline_ms
-        self._node.check_time(deadline_ms)
+        self._node.check_remaining_time(deadline_ms)
         raw = await _web.read_body(request, self._node.settings.limits)
         # The deadline starts here, and reading a slow body took time.
-        self._node.check_time(deadline_ms)
+        self._node.check_remaining_time(deadline_ms)
         return raw
 
     async def _on_addresses(self, _request):
