--- a/bench/demo.py
+++ b/bench/demo.py
@@ -2,7 +2,7 @@
 
 It publishes a fleet, serves both kinds of work from several callers at once,
 swings the mix, drains an engine under load, kills an entry, and exits with 1
-if a promise broke.
+if a guarantee was broken.
 """
 
 import random
@@ -31,20 +31,20 @@
     """One run of the demo."""
 
     def __init__(self):
-        """Prepare; :meth:`run` does the work."""
+        """Prepare the run; :meth:`run` executes it."""
         self.dep = bringup.Deployment()
         self.stop = threading.Event()
         self.started = time.monotonic()
         self.firsts = []
         self.gaps = []
         self.ends = []
-        self.told = []
+        self.outcomes = []
 
     def run(self):
-        """Bring up, load, disturb, and return the checker's verdict."""
+        """Run the deployment; return the verdict and the role changes."""
         with self.dep:
             self._bring_up()
-            self._say("the system is up; callers begin")
+            self._print_progress("the system is up; callers start")
             self.started = time.monotonic()
             threads = [
                 threading.Thread(target=self._call, args=(n,))
@@ -56,7 +56,9 @@
             self.stop.set()
             for thread in threads:
                 thread.join(60)
-            verdict = checker.judge(checker.read_events(self.dep.folder))
+            verdict = checker.find_violations(
+                checker.read_events(self.dep.folder)
+            )
             return verdict, self._role_changes()
 
     def _bring_up(self):
@@ -86,18 +88,18 @@
         dep.list_instances(names)
         version = dep.publish()
         dep.wait_ready(names)
-        self._say(f"published version {version}, in force everywhere")
+        self._print_progress(f"published version {version}, active everywhere")
 
     def _disturb(self):
         time.sleep(SECONDS / 4)
         self.dep.operate("drain", "engine-1")
-        self._say("engine-1 is being drained under load")
+        self._print_progress("engine-1 is being drained under load")
         time.sleep(SECONDS / 4)
         self.dep.kill("entry-1")
-        self._say("entry-1 was killed")
+        self._print_progress("entry-1 was killed")
         time.sleep(SECONDS / 4)
         self.dep.operate("serve", "engine-1")
-        self._say("engine-1 serves again")
+        self._print_progress("engine-1 serves again")
         time.sleep(SECONDS / 4)
 
     def _call(self, number):
@@ -110,23 +112,23 @@
             while not self.stop.is_set():
                 serial += 1
                 if rng.random() < 0.3:
-                    told = caller.book(f"{number}-{serial}")
-                    self.told.append(told)
-                    load.note_booking(
-                        log, caller.name, f"{number}-{serial}", told
+                    outcome = caller.book(f"{number}-{serial}")
+                    self.outcomes.append(outcome)
+                    load.record_booking(
+                        log, caller.name, f"{number}-{serial}", outcome
                     )
                     continue
                 text, tokens = self._mix(rng)
                 prompt = f"{number} {serial} {text}"
-                end, first_ms, gap_ms = caller.read(prompt, tokens)
-                load.note_stream(log, f"{number}-{serial}", end)
+                end, first_ms, gap_ms = caller.read_stream(prompt, tokens)
+                load.record_stream(log, f"{number}-{serial}", end)
                 self.ends.append(end)
                 if end == "whole":
                     self.firsts.append(first_ms)
                     self.gaps.append(gap_ms)
 
     def _mix(self, rng):
-        """Return the kind of work that the swinging mix asks for now."""
+        """Return a kind of work drawn from the current mix."""
         passed = time.monotonic() - self.started
         is_long = int(passed / SWING_SECONDS) % 2 == 0
         share = 0.8 if is_long else 0.2
@@ -139,7 +141,7 @@
         logs = [self.dep.log_of(name) for name in self.stewards]
         return sum(text.count("order=set_role") for text in logs)
 
-    def _say(self, sentence):
+    def _print_progress(self, sentence):
         passed = time.monotonic() - self.started
         print(f"{passed:5.1f} s  {sentence}", flush=True)
 
@@ -159,14 +161,14 @@
         ("ended with an error", demo.ends.count("error")),
         (
             "bookings confirmed",
-            f"{demo.told.count('done')} of {len(demo.told)}",
+            f"{demo.outcomes.count('done')} of {len(demo.outcomes)}",
         ),
-        ("bookings in doubt", demo.told.count("may_have_run")),
+        ("bookings in doubt", demo.outcomes.count("may_have_run")),
         ("doubled", len(doubled)),
         ("cut by a change", verdict.counts.get("cut", 0)),
         ("role changes", role_changes),
         ("first token, median", f"{statistics.median(demo.firsts):.0f} ms"),
-        ("promises broken", len(verdict.broken)),
+        ("guarantees broken", len(verdict.broken)),
     ]
     return [f"  {name:<22}{value}" for name, value in rows]
 
--- a/bench/engines.py
+++ b/bench/engines.py
@@ -1,8 +1,8 @@
 """Fake engines in virtual time, for replays of the policy alone.
 
-One fake has the interface of an engine as the policy meets it: prompt work
-done one after another, streams that share decoding slots, a limited prefix
-cache, roles that cost a change, and a load report.  Times are milliseconds.
+A fake has what the policy sees of an engine: prefills done one after
+another, streams that share decode slots, a limited prefix cache, roles that
+take time to change, and a load report.  Times are milliseconds.
 """
 
 import collections
@@ -19,7 +19,7 @@
 
 
 class FakeEngine:
-    """One engine; ``advance`` moves its streams to the present."""
+    """One engine; ``advance`` moves its streams to the given time."""
 
     def __init__(self, name, prefill_ms=0.2, gap_ms=20.0, slots=16, slow=1.0):
         """Start idle in the mixed role."""
@@ -30,7 +30,7 @@
         self.slow = slow
         self.role = "mixed"
         self.is_quiesced = False
-        self.away_until = 0.0
+        self.unavailable_until = 0.0
         self.cache = collections.OrderedDict()
         self.arrived = 0
         self.prefill_done = 0
@@ -64,7 +64,7 @@
         )
 
     def prefill(self, now, tokens, prefix, prefix_tokens):
-        """Queue prompt work and return when it will be done."""
+        """Queue a prefill and return when it will be done."""
         self.advance(now)
         self.arrived += 1
         if prefix in self.cache:
@@ -75,14 +75,14 @@
             while len(self.cache) > CACHE_PREFIXES:
                 self.cache.popitem(last=False)
         factor = routing.PREFILL_FACTOR[self.role] * self.slow
-        begin = max(now, self.prefill_free_at, self.away_until)
+        begin = max(now, self.prefill_free_at, self.unavailable_until)
         self.prefill_free_at = begin + tokens * self.prefill_ms * factor
         self.queued.append((self.prefill_free_at, tokens))
         self.prefilling += 1
         return self.prefill_free_at
 
-    def prefilled(self, now):
-        """Note that the oldest prompt work is done."""
+    def complete_prefill(self, now):
+        """Record that the oldest queued prefill is done."""
         self.advance(now)
         _, tokens = self.queued.popleft()
         self.prefill_done += tokens
--- a/bench/fit.py
+++ b/bench/fit.py
@@ -6,7 +6,7 @@
 class Fit(typing.NamedTuple):
     """``base + slope * size``; the residual is the largest deviation.
 
-    ``residual`` is given as a part of the largest measured value.
+    ``residual`` is a fraction of the largest measured value.
     """
 
     base: float
--- a/bench/kinds.py
+++ b/bench/kinds.py
@@ -26,7 +26,7 @@
 import docopt
 
 # How long the sites' days have traffic (length_s of each site file), in
-# seconds: what a day has planned for later never happens.
+# seconds: work planned for later never happens.
 TRAFFIC_S = 34
 
 
@@ -61,7 +61,7 @@
 
 
 def _file_name(name):
-    """Return the name of a day without the options of a varied play."""
+    """Return the name of a day without the options of a varied run."""
     return pathlib.PurePath(name.partition(" ")[0]).stem
 
 
--- a/bench/load.py
+++ b/bench/load.py
@@ -1,8 +1,8 @@
-"""Callers for the demo and the proofs, who behave as real ones would.
+"""Callers for the demo and the proofs that behave as real ones do.
 
-They ask the system where to connect, keep the answer for as long as it
-says, go on elsewhere from their position when a stream breaks, resend a
-booking while its outcome is unknown, and note what they were told.
+They ask the system where to connect and keep the answer until it expires,
+resume a broken stream elsewhere from its last position, resend a booking
+while its outcome is unknown, and record the outcome that they received.
 """
 
 import json
@@ -16,42 +16,42 @@
 from standins import bringup
 from standins import engine
 
-TRIES = 12
-PAUSE_SECONDS = 0.4
-CONNECT_SECONDS = 1.0
-READ_SECONDS = 12.0
-TOLD_DONE = "done"
+MAX_ATTEMPTS = 12
+RETRY_DELAY_SECONDS = 0.4
+CONNECT_TIMEOUT_SECONDS = 1.0
+READ_TIMEOUT_SECONDS = 12.0
+DONE = "done"
 
 
 class Addresses:
-    """What a caller knows of where to connect."""
+    """The addresses at which a caller may connect."""
 
     def __init__(self, first):
-        """Begin with some addresses from the caller's own settings."""
+        """Start with the addresses of the caller's own settings."""
         self._first = list(first)
-        self._kept = []
-        self._until = 0.0
+        self._resolved = []
+        self._valid_until = 0.0
         self._lock = threading.Lock()
 
     def pick(self, http, avoid=None):
         """Return an address to use now."""
         with self._lock:
-            if time.monotonic() >= self._until:
+            if time.monotonic() >= self._valid_until:
                 self._refresh(http)
-            known = [a for a in self._kept if a != avoid] or self._first
+            known = [a for a in self._resolved if a != avoid] or self._first
         return random.choice(known)
 
     def _refresh(self, http):
         order = random.sample(self._first, len(self._first))
-        for address in self._kept + order:
+        for address in self._resolved + order:
             try:
                 answer = http.get(f"http://{address}/v1/addresses").json()
             except (httpx.HTTPError, ValueError):
                 continue
             rows = answer.get("addresses")
             if rows:
-                self._kept = [row["address"] for row in rows]
-                self._until = time.monotonic() + answer["keep_ms"] / 1000
+                self._resolved = [row["address"] for row in rows]
+                self._valid_until = time.monotonic() + answer["keep_ms"] / 1000
                 return
 
 
@@ -63,18 +63,20 @@
         self.addresses = addresses
         self.name = name
         self.http = httpx.Client(
-            timeout=httpx.Timeout(READ_SECONDS, connect=CONNECT_SECONDS),
+            timeout=httpx.Timeout(
+                READ_TIMEOUT_SECONDS, connect=CONNECT_TIMEOUT_SECONDS
+            ),
             trust_env=False,
         )
 
     def book(self, key):
-        """Book under ``key`` until the outcome is known; note it.
+        """Book under ``key``, repeatedly until the outcome is known.
 
-        Returns what the caller was told last: ``done``, ``not_run`` or
-        ``may_have_run``.
+        Returns the last outcome that the caller received: ``done``,
+        ``not_run`` or ``may_have_run``.
         """
-        told = "not_run"
-        for _ in range(TRIES):
+        outcome = "not_run"
+        for _ in range(MAX_ATTEMPTS):
             address = self.addresses.pick(self.http)
             try:
                 answer = self.http.post(
@@ -87,36 +89,36 @@
                 )
                 body = answer.json()
             except httpx.ConnectError:
-                time.sleep(PAUSE_SECONDS)
+                time.sleep(RETRY_DELAY_SECONDS)
                 continue
             except (httpx.HTTPError, ValueError):
-                told = "may_have_run"
-                time.sleep(PAUSE_SECONDS)
+                outcome = "may_have_run"
+                time.sleep(RETRY_DELAY_SECONDS)
                 continue
             if answer.status_code == 200:
-                told = TOLD_DONE
+                outcome = DONE
                 break
             verdict = body.get("verdict", "may_have_run")
-            # An answer about this try alone takes nothing back that an
-            # earlier try left open.
-            if told != "may_have_run" or body["code"] != "overloaded":
-                told = verdict if told == "not_run" else told
+            # An overload answer covers this attempt alone: an earlier attempt
+            # with an unknown outcome may still have run.
+            if outcome != "may_have_run" or body["code"] != "overloaded":
+                outcome = verdict if outcome == "not_run" else outcome
             if "retry_after_ms" not in body:
                 break
             time.sleep(min(1.0, body["retry_after_ms"] / 1000))
-        return told
+        return outcome
 
-    def read(self, prompt, tokens, work_class=None):
-        """Read a streamed answer to its end and judge it.
+    def read_stream(self, prompt, tokens, work_class=None):
+        """Read a streamed answer to its end and check its events.
 
         Returns ``(end, first_ms, gap_ms)``; the end is ``whole``,
-        ``refused``, ``error`` (said so) or ``wrong``.
+        ``refused``, ``error`` (reported or failed) or ``wrong``.
         """
-        reader = _Reader(self, prompt, tokens, work_class)
+        reader = _StreamReader(self, prompt, tokens, work_class)
         return reader.run()
 
 
-class _Reader:
+class _StreamReader:
     def __init__(self, caller, prompt, tokens, work_class):
         self.caller = caller
         self.prompt = prompt
@@ -133,7 +135,7 @@
     def run(self):
         end = "error"
         avoid = None
-        for _ in range(TRIES):
+        for _ in range(MAX_ATTEMPTS):
             address = self.caller.addresses.pick(self.caller.http, avoid)
             try:
                 end = self._attempt(address)
@@ -144,7 +146,7 @@
             if end in ("whole", "wrong", "refused"):
                 break
             avoid = address
-            time.sleep(PAUSE_SECONDS)
+            time.sleep(RETRY_DELAY_SECONDS)
         return end, self._first_ms(), self._gap_ms()
 
     def _attempt(self, address):
@@ -164,9 +166,9 @@
             if answer.status_code != 200:
                 answer.read()
                 return "refused" if answer.status_code == 429 else "error"
-            return self._take(answer)
+            return self._read_events(answer)
 
-    def _take(self, answer):
+    def _read_events(self, answer):
         position = None
         for line in answer.iter_lines():
             if line.startswith("event: error"):
@@ -174,12 +176,12 @@
             if line.startswith("id:"):
                 position = int(line[3:])
             elif line.startswith("data:"):
-                self._take_event(position, line[5:].strip())
+                self._check_event(position, line[5:].strip())
                 if self.position == self.tokens + 1:
                     return "whole"
         return "error"
 
-    def _take_event(self, position, data):
+    def _check_event(self, position, data):
         if position != self.position + 1:
             self.is_wrong = True
         elif position == self.tokens + 1:
@@ -204,13 +206,13 @@
         return (self.last - self.first) * 1000 / (self.position - 1)
 
 
-def note_booking(log, caller, key, told):
-    """Write what a caller was told of a booking, for the checker."""
-    log.write(base.event_line("booking", key=f"{caller}/{key}", told=told))
+def record_booking(log, caller, key, outcome):
+    """Write the outcome of a booking as its caller received it."""
+    log.write(base.event_line("booking", key=f"{caller}/{key}", told=outcome))
     log.flush()
 
 
-def note_stream(log, request, end):
-    """Write how a stream ended for its caller, for the checker."""
+def record_stream(log, request, end):
+    """Write how a stream ended for its caller."""
     log.write(base.event_line("stream", request=request, end=end))
     log.flush()
--- a/bench/losses.py
+++ b/bench/losses.py
@@ -23,11 +23,11 @@
 
 from clementinewall.operator import request_trace
 
-# A first event that comes so much after the prediction is the fault of the
-# prediction.
+# A late first event counts as mispredicted if it came this much after the
+# predicted time.
 MISPREDICTED_MS = 100
 SERVED = "served in time"
-# What the report counts as not served in time.
+# Keys of the report that count requests not served in time.
 _LOST = ("late", "refused", "failed")
 
 
--- a/bench/proofs.py
+++ b/bench/proofs.py
@@ -1,4 +1,4 @@
-"""Random faults over the whole system under load, then the checker.
+"""Inject random faults into the whole system under load, then check it.
 
 Usage:
   proofs [--seed=N] [--minutes=M] [--keep=FOLDER]
@@ -8,7 +8,7 @@
   --minutes=M    How long to run [default: 1].
   --keep=FOLDER  Copy the logs of the run there.
 
-Exit codes: 0 no promise broken, 1 some were.
+Exit codes: 0 no guarantee broken, 1 some were.
 """
 
 import random
@@ -27,17 +27,17 @@
 ENGINES = 4
 SERVICES = 3
 CALLERS = 8
-REST_SECONDS = (0.5, 3.0)
+FAULT_GAP_SECONDS = (0.5, 3.0)
 FAULT_SECONDS = (0.5, 6.0)
 SETTLE_SECONDS = 8.0
 TOKENS = (5, 60)
 
 
-class Run:
+class FaultRun:
     """One seeded run."""
 
     def __init__(self, seed, minutes):
-        """Prepare; :meth:`go` does the work."""
+        """Prepare the run; :meth:`run` executes it."""
         self.random = random.Random(seed)
         self.seconds = minutes * 60
         self.dep = bringup.Deployment()
@@ -45,8 +45,8 @@
         self.faults = []
         self.serial = 0
 
-    def go(self):
-        """Bring up, load, fault, settle, and judge."""
+    def run(self):
+        """Run, and return the verdict and the number of stuck threads."""
         with self.dep:
             self._bring_up()
             threads = [
@@ -62,7 +62,9 @@
             for thread in threads:
                 thread.join(120)
             stuck = sum(thread.is_alive() for thread in threads)
-            verdict = checker.judge(checker.read_events(self.dep.folder))
+            verdict = checker.find_violations(
+                checker.read_events(self.dep.folder)
+            )
             return verdict, stuck
 
     def _bring_up(self):
@@ -75,11 +77,11 @@
             if number % 2:
                 options.append("--ignore-fencing")
             dep.engine(name, "abc"[number % 3], options=options, role="auto")
-            self._put_behind_proxy(name)
+            self._add_proxy(name)
         for number in range(SERVICES):
             name = f"orders-{number}"
             dep.service(name, "abc"[number % 3])
-            self._put_behind_proxy(name)
+            self._add_proxy(name)
         dep.classes()
         self.entries = [f"entry-{n}" for n in range(ENTRIES)]
         self.stewards = [f"steward-{n}" for n in range(STEWARDS)]
@@ -92,7 +94,7 @@
         dep.publish()
         dep.wait_ready(names)
 
-    def _put_behind_proxy(self, name):
+    def _add_proxy(self, name):
         dep = self.dep
         via = dep.proxy(f"{name}-proxy", dep.address_by_name[name])
         dep.fleet["endpoint"][name]["address"] = via
@@ -108,15 +110,17 @@
                 serial += 1
                 if rng.random() < 0.5:
                     key = f"{number}-{serial}"
-                    told = caller.book(key)
-                    load.note_booking(log, caller.name, key, told)
+                    outcome = caller.book(key)
+                    load.record_booking(log, caller.name, key, outcome)
                 else:
                     prompt = f"caller {number} asks {serial}"
-                    end, _, _ = caller.read(prompt, rng.randint(*TOKENS))
-                    load.note_stream(log, prompt, end)
+                    end, _, _ = caller.read_stream(
+                        prompt, rng.randint(*TOKENS)
+                    )
+                    load.record_stream(log, prompt, end)
 
     def _change_fleet(self):
-        """Load new versions and change roles, over and over."""
+        """Publish new versions and roles repeatedly."""
         rng = random.Random("operator")
         path = self.dep.folder / "changing.toml"
         serial = 0
@@ -135,14 +139,14 @@
     def _inject(self):
         end = time.monotonic() + self.seconds
         while time.monotonic() < end:
-            time.sleep(self.random.uniform(*REST_SECONDS))
+            time.sleep(self.random.uniform(*FAULT_GAP_SECONDS))
             count = self.random.choice((1, 1, 2))
-            undo = [self._one_fault() for _ in range(count)]
+            reverts = [self._inject_one() for _ in range(count)]
             time.sleep(self.random.uniform(*FAULT_SECONDS))
-            for put_right in undo:
-                put_right()
+            for revert in reverts:
+                revert()
 
-    def _one_fault(self):
+    def _inject_one(self):
         kinds = (
             self._pause,
             self._kill_program,
@@ -174,7 +178,7 @@
         return lambda: self._ensure(name)
 
     def _ensure(self, name):
-        """Start the process anew, as soon as the old one has ended."""
+        """Restart the process as soon as the old one has ended."""
         process = self.dep.process_by_name[name]
         self.dep.resume(name)
         try:
@@ -220,8 +224,8 @@
     """Run once and print the verdict."""
     options = docopt.docopt(__doc__)
     seed = int(options["--seed"])
-    run = Run(seed, float(options["--minutes"]))
-    verdict, stuck = _go(run, options["--keep"])
+    run = FaultRun(seed, float(options["--minutes"]))
+    verdict, stuck = _run(run, options["--keep"])
     counted = ", ".join(
         f"{name} {run.faults.count(name)}" for name in sorted(set(run.faults))
     )
@@ -232,13 +236,13 @@
         print(f"BROKEN: {line}")
     if stuck:
         print(f"BROKEN: {stuck} callers never got an answer")
-    print(f"promises broken: {len(verdict.broken) + bool(stuck)}")
+    print(f"guarantees broken: {len(verdict.broken) + bool(stuck)}")
     raise SystemExit(1 if verdict.broken or stuck else 0)
 
 
-def _go(run, keep):
+def _run(run, keep):
     if keep is None:
-        return run.go()
+        return run.run()
     close = run.dep.close
 
     def copy_and_close():
@@ -246,7 +250,7 @@
         close()
 
     run.dep.close = copy_and_close
-    return run.go()
+    return run.run()
 
 
 if __name__ == "__main__":
--- a/bench/replay.py
+++ b/bench/replay.py
@@ -1,6 +1,6 @@
 """Replays a trace through the pure policy against fake engines.
 
-Virtual time, one event after another, everything from the seed: the same
+Virtual time, one event after another, all randomness from the seed: the same
 replay gives the same figures on every machine.  The decisions are those of
 ``clementinewall.policy`` as the programs use them; reports reach each entry
 once a second and late, as they do in the programs.
@@ -23,7 +23,7 @@
 from clementinewall.records import configuration
 
 ENTRIES = 8
-POLL_MS = 1_000.0
+POLL_INTERVAL_MS = 1_000.0
 REPORT_LAG_MS = 150.0
 DISTANCE_MS = 1.0
 SPLIT_TOKENS = 512
@@ -39,7 +39,7 @@
 
 
 class Result(typing.NamedTuple):
-    """What came out of a replay."""
+    """The figures of a replay."""
 
     offered: int
     good: int
@@ -55,7 +55,7 @@
 
     @property
     def goodput(self):
-        """The part of the offered requests answered within target."""
+        """The fraction of the offered requests answered within target."""
         return self.good / max(1, self.offered)
 
 
@@ -105,9 +105,9 @@
         for request in self.plan.requests:
             self._at(request.at, self._arrive, request)
         for entry in range(ENTRIES):
-            offset = POLL_MS * entry / ENTRIES
+            offset = POLL_INTERVAL_MS * entry / ENTRIES
             self._at(offset, self._poll, entry)
-        self._at(role_changes.PLAN_MS, self._plan_roles)
+        self._at(role_changes.PLAN_INTERVAL_MS, self._plan_roles)
         if self.plan.drained is not None:
             index, begin, end = self.plan.drained
             self._at(begin, self.drained.add, f"e{index}")
@@ -135,15 +135,15 @@
                 engine.advance(now)
                 self._at(
                     now + REPORT_LAG_MS,
-                    self._take,
+                    self._apply_report,
                     entry,
                     name,
                     engine.report(),
                 )
         if now < self.plan.length:
-            self._at(now + POLL_MS, self._poll, entry)
+            self._at(now + POLL_INTERVAL_MS, self._poll, entry)
 
-    def _take(self, entry, name, report):
+    def _apply_report(self, entry, name, report):
         self.trackers[entry][name].apply_report(report, int(self.clock.now))
 
     # Requests.
@@ -176,7 +176,7 @@
 
     def _prefilled(self, entry, request, prefill_name, decode_name):
         now = self.clock.now
-        self.engines[prefill_name].prefilled(now)
+        self.engines[prefill_name].complete_prefill(now)
         self._reschedule(self.engines[prefill_name])
         if prefill_name != decode_name:
             self.trackers[entry][prefill_name].ended()
@@ -214,14 +214,14 @@
         self._reschedule(engine)
 
     def _choose(self, entry, request):
-        away = {
+        unavailable = {
             name
             for name, engine in self.engines.items()
             if name in self.drained
             or engine.is_quiesced
-            or engine.away_until > self.clock.now
+            or engine.unavailable_until > self.clock.now
         }
-        names = [name for name in self.engines if name not in away]
+        names = [name for name in self.engines if name not in unavailable]
         if not names:
             return None
         if self.strategy.router == "random":
@@ -234,13 +234,13 @@
     def _choose_by_policy(self, entry, request, names):
         row = CLASSES[request.work_class]
         work = routing.Work(request.prompt, row.first_ms, row.gap_ms)
-        liked = ()
+        preferred = ()
         if self.strategy.affinity:
             key = request.prefix or f"{request.at}"
-            liked = tuple(members.rendezvous(key, list(self.engines))[:2])
+            preferred = tuple(members.rendezvous(key, list(self.engines))[:2])
         candidates = [self._candidate(entry, n, request) for n in names]
         draw = self.rng.random()
-        choice = routing.choose(candidates, work, draw, liked)
+        choice = routing.choose(candidates, work, draw, preferred)
         plan = routing.Split("", choice)
         if request.prompt >= SPLIT_TOKENS:
             move = request.prompt * MOVE_MS_PER_TOKEN
@@ -267,7 +267,7 @@
     def _plan_roles(self):
         now = self.clock.now
         if now < self.plan.length:
-            self._at(now + role_changes.PLAN_MS, self._plan_roles)
+            self._at(now + role_changes.PLAN_INTERVAL_MS, self._plan_roles)
         self._roles.plan(self.drained)
 
     def _result(self):
--- a/bench/role_changes.py
+++ b/bench/role_changes.py
@@ -5,7 +5,7 @@
 from clementinewall.policy import roles
 from clementinewall.steward import planner
 
-PLAN_MS = 2_000.0
+PLAN_INTERVAL_MS = 2_000.0
 THRESHOLD_QUEUE_MS = 1_500.0
 THRESHOLD_CROWD = 1.2
 
@@ -18,7 +18,7 @@
     """
 
     def __init__(self, clock, engines, policy, strategy):
-        """Begin with no change under way."""
+        """Start with no change under way."""
         self._clock = clock
         self._engines = engines
         self._policy = policy
@@ -31,9 +31,9 @@
         self.lost_ms = 0.0
 
     def plan(self, drained):
-        """Carry on what was begun and plan anew, but for drained engines."""
+        """Continue changes under way, then plan for undrained engines."""
         now = self._clock.now
-        self._carry_on_changes()
+        self._continue_changes()
         reports = {}
         for name, engine in self._engines.items():
             engine.advance(now)
@@ -48,10 +48,12 @@
     def _propose(self, reports):
         if not self._last_reports:
             return
-        demand = planner.demand_of(reports, self._last_reports, PLAN_MS)
+        demand = planner.demand_of(
+            reports, self._last_reports, PLAN_INTERVAL_MS
+        )
         seen, self.window = self.window, collections.Counter()
         self._model_plan.record_demand(
-            demand, seen["offered"], seen["good"], PLAN_MS
+            demand, seen["offered"], seen["good"], PLAN_INTERVAL_MS
         )
         views = [
             roles.EngineView(
@@ -70,7 +72,7 @@
             self._model_plan.record_change(self._clock.now)
 
     def _react(self, reports):
-        """Change a role whenever one kind of work piles up, the baseline."""
+        """Change a role when one kind of work queues up (the baseline)."""
         if self._pending:
             return
         counts = collections.Counter(r.role for r in reports.values())
@@ -91,16 +93,16 @@
         self._engines[name].is_quiesced = True
         self._pending[name] = (role, self._clock.now)
 
-    def _carry_on_changes(self):
+    def _continue_changes(self):
         now = self._clock.now
         for name, (role, since) in list(self._pending.items()):
             engine = self._engines[name]
             if engine.role != role:
                 if engine.running == 0:
                     engine.role = role
-                    engine.away_until = now + self._policy.change_ms
+                    engine.unavailable_until = now + self._policy.change_ms
                     self.changes += 1
-            elif now >= engine.away_until:
+            elif now >= engine.unavailable_until:
                 engine.is_quiesced = False
                 self.lost_ms += now - since
                 self._model_plan.record_change(now)
--- a/bench/rules.py
+++ b/bench/rules.py
@@ -17,8 +17,8 @@
 
 import docopt
 
-# What operators do by plan.  The journal doesn't tell variants of a kind
-# apart, so a kind that is planned in some variants only counts as a fault.
+# Planned work of operators.  The journal doesn't record variants of a kind,
+# so a kind that is planned in only some variants counts as a fault.
 PLANNED = frozenset(
     (
         "add_nodes",
@@ -32,7 +32,7 @@
         "scale_out",
     )
 )
-# What callers do; neither planned work nor a fault.
+# Actions of callers: neither planned work nor a fault.
 CALLERS = frozenset(("burst", "give_up", "retry_abuse", "shift"))
 
 ATTACKS_BY_RULE = {
@@ -122,7 +122,7 @@
 
     @property
     def has_faults(self):
-        """Tell whether anything but planned work and callers troubled it."""
+        """Return whether the day had a fault."""
         return bool(self.kinds - PLANNED - CALLERS)
 
 
@@ -140,7 +140,7 @@
 def days(folder):
     """Yield the days of all entries; those without an end are left out.
 
-    A day that was given up counts neither as kept nor as broken.
+    A day that was given up says nothing about whether a rule was kept.
     """
     for path in sorted(pathlib.Path(folder).glob("*.json")):
         entry = json.loads(path.read_text())
--- a/bench/slope.py
+++ b/bench/slope.py
@@ -23,8 +23,8 @@
 def cpu_us(work, rounds):
     """Return the processor time of one call of ``work``, in us.
 
-    The least of several repeats: whatever else ran on the machine can only
-    have made the others longer.
+    The minimum of several repeats, since other load on the machine can only
+    lengthen a repeat.
     """
     best = None
     for _ in range(REPEATS):
@@ -37,7 +37,7 @@
 
 
 def memory_bytes(build):
-    """Return the bytes that what ``build`` returns holds on to."""
+    """Return the memory of the object that ``build`` returns, in bytes."""
     gc.collect()
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
--- a/bench/slopes_membership.py
+++ b/bench/slopes_membership.py
@@ -1,4 +1,4 @@
-"""Slopes of membership: datagrams, the table of members, marks."""
+"""Slopes of membership: datagrams, the table of members, crash records."""
 
 from bench import slope
 from clementinewall import clock
@@ -50,7 +50,7 @@
 
 
 def gossip_cpu():
-    """Processor time to encode one message and take one in."""
+    """Processor time to encode one message and apply one."""
     points = []
     for count in (8, 16, 35, 70):
         table = _table(count)
@@ -78,7 +78,7 @@
 
 
 def crash_cpu():
-    """Time to check a request against the crash marks."""
+    """Time to check a request against the crash records."""
     points = []
     for count in (10, 50, 100, 200):
         now = clock.ManualClock()
--- a/bench/slopes_processes.py
+++ b/bench/slopes_processes.py
@@ -2,7 +2,7 @@
 
 ``idle`` starts entries of one data centre and reads what each spends while
 nothing happens: processor time, resident memory and control bytes.
-``propagation`` times a change from its append until it is in force at every
+``propagation`` times a change from its append until it is active at every
 process.  ``exchange`` is the whole cost of one gossip exchange over HTTP.
 """
 
@@ -18,8 +18,8 @@
 IDLE_SECONDS = 10.0
 CHANGES = 5
 TICKS = os.sysconf("SC_CLK_TCK")
-# At the size of the letter a node gossips twice a second and reads a busier
-# log; here everything has the product's own defaults.
+# The product's defaults.  A large deployment gossips twice a second too but
+# reads a busier log.
 DEFAULTS = {
     "membership": {"gossip_ms": 500, "dead_after_ms": 4000},
     "leases": {
@@ -47,7 +47,7 @@
         lambda: all(
             len(dep.status(name)["members"]) == count for name in names
         ),
-        what="acquaintance",
+        what="all members to know each other",
     )
     return dep, names
 
@@ -106,7 +106,7 @@
 
 
 def propagation():
-    """Return the time until a change is in force, against processes."""
+    """Return the time until a change is active, against processes."""
     points = []
     for count in SIZES:
         dep, names = _up(count)
@@ -120,7 +120,7 @@
                     lambda v=version, d=dep: all(
                         d.status(name)["version"] >= v for name in names
                     ),
-                    what="the version in force",
+                    what="the version to become active",
                 )
                 slowest = max(slowest, time.monotonic() - started)
         points.append((count, slowest * 1e3))
--- a/bench/slopes_records.py
+++ b/bench/slopes_records.py
@@ -35,7 +35,7 @@
 
 
 def renewal_cpu():
-    """Processor time to fold one renewal against the scopes it names."""
+    """Processor time to apply one renewal, against its scopes."""
     points = []
     for count in (1, 4, 16, 64):
         state = _state(count)
@@ -88,7 +88,7 @@
 
 
 def change_cpu():
-    """Time to fold one change and build the view, against endpoints."""
+    """Time to apply one change and build the view, against endpoints."""
     points = []
     for count in (250, 500, 1_000, 2_100):
         state = control.State()
@@ -114,7 +114,7 @@
 
 
 def endpoint_memory():
-    """Memory of the folded configuration and its view."""
+    """Memory of the applied configuration and its view."""
 
     def build(count):
         state = control.State()
@@ -169,7 +169,7 @@
 
 
 def commit_cpu():
-    """Time to encode, decode and fold a commit against its bookings."""
+    """Time to encode, decode and apply a commit against its bookings."""
     points = []
     for count in (1, 4, 16, 64):
         table = bookings.Table(10_000_000)
--- a/bench/strategies.py
+++ b/bench/strategies.py
@@ -17,7 +17,7 @@
 
 
 def capacity_bound(plan, count):
-    """Return the part of the offered work that the engines could do.
+    """Return the fraction of the offered work that the engines could do.
 
     Every engine works all the time at the cost of its best role.
     """
--- a/tests/bench/test_losses.py
+++ b/tests/bench/test_losses.py
@@ -47,7 +47,7 @@
 
 
 class Losses(unittest.TestCase):
-    """A day of six requests."""
+    """A day of six requests, each lost or served in another way."""
 
     def setUp(self):
         """Read the log of the day."""
