--- a/tests/entry/test_crash_guard.py
+++ b/tests/entry/test_crash_guard.py
@@ -1,4 +1,4 @@
-"""Copies of crashing work, sent through all entries at once."""
+"""Copies of a crashing request, sent through all entries at once."""
 
 import unittest
 
@@ -15,41 +15,40 @@
 
 
 class _Loads:
-    """The endpoints of one service, in the order of the real loads."""
+    """Orders the endpoints of one model as ``loads.Loads`` does."""
 
     def preference_order(self, kind, name, text):
-        """Return all engines; all entries know the same ones."""
+        """Return all engines, the same for every entry."""
         return members.rendezvous(f"{name}|{text}", ENGINES)
 
 
 class _Node:
-    """The table of marks of one entry."""
+    """An entry with its table of crash records."""
 
     def __init__(self, crashed):
-        """Know that the work crashed the engines ``crashed``."""
+        """Record ``crashed``, pairs of digest and engine id."""
         self.crashes = crashes.CrashTable(clock.ManualClock().now)
         for digest, engine in crashed:
             self.crashes.add(digest, engine)
 
 
 class RemainingEndpointTest(unittest.TestCase):
-    """A caller sends crashing work to all addresses together.
+    """Guards against copies of a request that crash more than two engines.
 
-    The copies begin at one of the two engines that equal work prefers.
-    While the marks are under way each entry knows of the crash of its own
-    copy only.  If entries then chose by an order of their own, three of
-    five engines went down within 100 ms, and every caller of that model
-    was refused until they were back.
+    Copies sent to all entries at once start at the two preferred engines.
+    Until crash records arrive, each entry knows only of its own copy's crash.
+    When each entry retried in an order of its own, three of five engines went
+    down within 100 ms and all callers of the model were refused.
     """
 
     def choice(self, work, crashed):
-        """Return what an entry that knows of ``crashed`` chooses."""
+        """Return the choice of an entry with crash records of ``crashed``."""
         node = _Node([(work.digest, engine) for engine in crashed])
         guard = crash_guard.CrashGuard(node, _Loads())
         return guard.remaining_endpoint(work, set(), verdicts.Verdict.NOT_RUN)
 
-    def test_copies_that_know_different_crashes_meet(self):
-        """Each of the two crashed ones leads to the other, to no third."""
+    def test_retries_go_to_the_other_preferred_engine(self):
+        """A copy that crashed one preferred engine gets the other one."""
         for number in range(WORKS):
             work = crash_guard.Work(
                 f"{number:02x}", "engine", "m", f"{number}"
@@ -59,13 +58,13 @@
             touched = {self.choice(work, [crashed]) for crashed in pair}
             self.assertEqual(set(pair), touched)
 
-    def test_sound_work_may_go_anywhere(self):
-        """Work without a mark is not led to one engine."""
+    def test_a_request_without_crash_record_is_not_restricted(self):
+        """Every engine remains allowed."""
         work = crash_guard.Work("00", "engine", "m", "sound")
         self.assertIsNone(self.choice(work, []))
 
-    def test_the_other_one_failed_too(self):
-        """An entry doesn't go on to a third engine on its own."""
+    def test_no_third_engine_after_two_failures(self):
+        """After a crash and a failure, the entry tries no third engine."""
         work = crash_guard.Work("00", "engine", "m", "text")
         first, second = _Loads().preference_order("engine", "m", "text")[:2]
         node = _Node([(work.digest, first)])
--- a/tests/entry/test_progress.py
+++ b/tests/entry/test_progress.py
@@ -1,4 +1,4 @@
-"""What is kept of a request while it is carried."""
+"""Extracting the text of events."""
 
 import json
 import unittest
@@ -16,21 +16,20 @@
 
 
 class TextTest(unittest.TestCase):
-    """The text of an event."""
+    """The text that an event adds to the answer."""
 
     @hypothesis.given(st.text())
-    def test_both_forms(self, text):
-        """Completions and chat completions carry it differently."""
+    def test_completion_and_chat_events(self, text):
+        """Completions and chat completions have different members."""
         for choice in ({"text": text}, {"delta": {"content": text}}):
             data = json.dumps({"choices": [choice]}).encode()
             self.assertEqual(text, progress.text_of(event(data)))
 
     @hypothesis.given(st.binary(max_size=40))
-    def test_what_cannot_be_read_is_not_empty(self, raw):
-        """An engine sends a broken event.
+    def test_malformed_events_are_not_empty(self, raw):
+        """Guards against answers that lack text unnoticed.
 
-        Taken for empty, its text would be missing from a whole answer and
-        the caller would not know.
+        An engine sends a malformed event that is taken for an empty one.
         """
         try:
             is_object = isinstance(json.loads(raw), dict)
@@ -41,7 +40,7 @@
             self.assertIsNone(found)
 
     def test_events_without_text(self):
-        """The end, and the counts that some engines send."""
+        """The end marker and usage counts, which some engines send."""
         for data in (b"[DONE]", b'{"choices": [], "usage": {}}'):
             self.assertEqual("", progress.text_of(event(data)))
 
--- a/tests/entry/test_watchdog.py
+++ b/tests/entry/test_watchdog.py
@@ -1,4 +1,4 @@
-"""The watchdog ends waits that take too long and blames the right side."""
+"""The watchdog cancels long waits and names the side that caused them."""
 
 import unittest
 
@@ -14,12 +14,12 @@
     def expire(self, what):
         """Return what expired when the wait for ``what`` never ends."""
         now = clock.ManualClock()
-        dog = watchdog.Watchdog(now.now)
+        watcher = watchdog.Watchdog(now.now)
 
         async def run():
             async with anyio.create_task_group() as group:
-                group.start_soon(dog.run)
-                with dog.watch() as watch:
+                group.start_soon(watcher.run)
+                with watcher.watch() as watch:
                     watch.wait_for(what, 500)
                     now.advance(501)
                     await anyio.sleep(30)
@@ -28,25 +28,25 @@
 
         return anyio.run(run)
 
-    def test_a_silent_engine(self):
-        """An engine keeps its connection open and says nothing."""
+    def test_an_unresponsive_engine(self):
+        """An engine keeps its connection open but sends nothing."""
         self.assertEqual(watchdog.ENGINE, self.expire(watchdog.ENGINE))
 
     def test_a_slow_caller(self):
         """A caller stops reading.
 
-        Blamed on the engine, it would be left out and the answer sent to
-        the same caller from another one.
+        If the engine were blamed, it would be excluded and the answer would
+        resume for the same caller at another engine.
         """
         self.assertEqual(watchdog.CALLER, self.expire(watchdog.CALLER))
 
-    def test_a_wait_within_its_limit(self):
-        """Waits that follow one another are not added up."""
+    def test_consecutive_waits_within_the_limit(self):
+        """Each wait has its own limit; consecutive waits don't add up."""
         now = clock.ManualClock()
-        dog = watchdog.Watchdog(now.now)
+        watcher = watchdog.Watchdog(now.now)
 
         async def run():
-            with dog.watch() as watch:
+            with watcher.watch() as watch:
                 for _ in range(10):
                     watch.wait_for(watchdog.ENGINE, 500)
                     now.advance(400)
