--- a/tests/integration/test_bookings.py
+++ b/tests/integration/test_bookings.py
@@ -1,4 +1,4 @@
-"""Bookings run at most once; "not run" is true."""
+"""Bookings run at most once, and the verdict "not run" is true."""
 
 import time
 
@@ -10,10 +10,10 @@
 
 
 class BookingsTest(base.DeploymentCase):
-    """Resends through every entry, under failures."""
+    """Bookings resent through every entry while parts fail."""
 
     def runs(self, key, services=("orders-1", "orders-2")):
-        """Return how often the services ran the key, by their own count."""
+        """Return how often the services ran the key, as they counted it."""
         return sum(
             self.dep.ask(name, "/executions").get(f"clinic/{key}", 0)
             for name in services
@@ -27,9 +27,9 @@
         return [answer for _, answer in work.results]
 
     def test_copies_at_the_same_time_run_once(self):
-        """A caller in doubt sends its booking to all addresses at once.
+        """Guards against running a booking once for each entry.
 
-        Two entries that both ran it would bill the pears twice.
+        A caller sends copies of its booking to all addresses at once.
         """
         self.bring_up()
         for number in range(5):
@@ -38,10 +38,11 @@
             self.assertEqual([200] * 3, [a.status_code for a in answers])
             self.assertEqual(1, len({a.text for a in answers}))
 
-    def test_a_lost_answer_is_not_called_not_run(self):
-        """The service runs the call, then its answer is lost.
+    def test_a_lost_answer_is_reported_as_may_have_run(self):
+        """Guards against the verdict "not run" for a call that ran.
 
-        Told "not run", the caller would book again under a new key.
+        The service runs the call, but its answer is lost.  On "not run" the
+        caller would book again with a new key.
         """
         self.bring_up(prepare=_behind_proxies)
         self.dep.faults("orders-1", mode="stall")
@@ -63,8 +64,8 @@
         self.assertEqual("booking_in_doubt", again.json()["code"])
         self.assertEqual(1, self.runs("lost"))
 
-    def test_a_refusal_is_tried_elsewhere(self):
-        """One service endpoint refuses before it runs anything."""
+    def test_a_refused_call_is_retried_elsewhere(self):
+        """One service endpoint refuses calls without running them."""
         self.bring_up()
         self.dep.faults("orders-1", mode="refuse")
         for number in range(4):
@@ -73,10 +74,10 @@
             self.assertEqual(1, self.runs(f"refused-{number}"))
 
     def test_an_outage_of_the_log_refuses_as_not_run(self):
-        """The log is down, so no intent can be announced.
+        """Guards against late or wrong refusals while the log is down.
 
-        The refusal says "not run", comes at once, and the key is free
-        again afterwards.
+        No intent can be committed: the verdict must be "not run", without
+        delay, and the key must be usable once the log is back.
         """
         self.bring_up()
         callers.book(self.url(1), "before")
@@ -91,11 +92,11 @@
         self.assertTrue(self.book_until_done("outage"))
         self.assertEqual(1, self.runs("outage"))
 
-    def test_lost_append_answers_double_nothing(self):
-        """The log takes every append, but its answers are lost.
+    def test_lost_append_answers_run_nothing_twice(self):
+        """Guards against double runs and blocked keys after unknown appends.
 
-        Appending an intent again must not run its call twice, and giving
-        it up must not leave the key blocked.
+        The log accepts every append, but its answers are lost.  The intent
+        may be appended again or abandoned.
         """
         self.bring_up()
         self.dep.faults("log", mode="lose_answers")
@@ -107,11 +108,12 @@
         self.assertTrue(self.book_until_done("silent"))
         self.assertEqual(1, self.runs("silent"))
 
-    def test_the_home_entry_dies_under_the_call(self):
-        """The entry that dispatched a booking is killed before its end.
+    def test_the_owner_is_killed_during_the_call(self):
+        """Guards against a second run after the owner was killed.
 
-        Its intent stays behind without an outcome; nobody may run it again,
-        and the caller must hear so at once, not at a deadline.
+        The entry that dispatched a booking leaves an intent without outcome.
+        No entry may run it again, and callers must get the error at once,
+        not at a deadline.
         """
         self.bring_up()
         for name in ("orders-1", "orders-2"):
@@ -120,7 +122,7 @@
             callers.book, [(self.url(1), "died", "pears", 20.0)]
         )
         bringup.wait_until(lambda: self.runs("died") == 1, 10, "a run")
-        home = self.home_of("died")
+        home = self.owner_of("died")
         self.dep.kill(home)
         for name in ("orders-1", "orders-2"):
             self.dep.faults(name, mode="ok")
@@ -133,11 +135,11 @@
         self.assertEqual(1, self.runs("died"))
         work.join()
 
-    def test_a_paused_home_runs_nothing_when_it_wakes(self):
-        """The home entry is paused; another acts in its place.
+    def test_a_resumed_owner_runs_nothing_twice(self):
+        """Guards against a second run by an owner that was paused.
 
-        When the first one wakes it goes on where it stood, and must find
-        that its call is no longer its own.
+        Another entry acts as the owner meanwhile.  The paused one continues
+        where it stopped, and must find that its intent is not the valid one.
         """
         self.bring_up()
         callers.book(self.url(1), "warm")
@@ -152,10 +154,10 @@
             self.book_everywhere(key)
             self.assertEqual(1, self.runs(key))
 
-    def test_keys_outlive_the_replacement_of_all_entries(self):
-        """Every entry is replaced, one at a time; all memory is new.
+    def test_keys_survive_the_replacement_of_all_entries(self):
+        """Guards against a second run when no entry has the key in memory.
 
-        A resend must get the kept answer and no second run.
+        Every entry is replaced in turn; a resend must get the kept answer.
         """
         self.bring_up(2, 1)
         first = callers.book(self.url(1), "kept")
@@ -169,10 +171,11 @@
         self.assertEqual("1", again.headers["x-kept-answer"])
         self.assertEqual(1, self.runs("kept"))
 
-    def test_a_ticket_outlives_the_log(self):
-        """The log drops the intent; the caller resends much later.
+    def test_a_ticket_expires_with_its_intent(self):
+        """Guards against a second run after the log dropped the intent.
 
-        A plain key would be taken for new and run again.
+        The caller resends much later.  A plain key would be taken for new; a
+        ticket must be refused as expired.
         """
         self.bring_up(1, 1)
         answer = httpx.post(
@@ -194,9 +197,9 @@
         self.assertEqual(1, self.runs(ticket))
 
     def test_a_key_for_another_request_is_refused(self):
-        """A caller uses a key twice by mistake, for two orders.
+        """Guards against answering a second order with the first one's answer.
 
-        Giving the first order's answer would lose the second unseen.
+        A caller uses one key for two orders by mistake.
         """
         self.bring_up(2, 1)
         callers.book(self.url(1), "twice", "pears")
@@ -204,7 +207,7 @@
         self.assertEqual("key_reused", answer.json()["code"])
 
     def book_until_done(self, key):
-        """Resend as a caller does, following the verdicts."""
+        """Resend until answered with 200; return whether it was."""
         for _ in range(20):
             answer = callers.book(self.url(2), key)
             if answer.status_code == 200:
@@ -212,12 +215,12 @@
             time.sleep(0.3)
         return False
 
-    def home_of(self, key):
+    def owner_of(self, key):
         """Return the entry that dispatched the booking of ``key``."""
         for name in self.entries:
             if "chose an endpoint" in self.dep.log_of(name):
                 return name
-        raise AssertionError(f"nobody dispatched {key}")
+        raise AssertionError(f"no entry dispatched {key}")
 
 
 def _behind_proxies(dep):
--- a/tests/integration/test_leaving.py
+++ b/tests/integration/test_leaving.py
@@ -1,4 +1,4 @@
-"""What is leaving gets no new work and is in no new answer."""
+"""Draining parts get no new work and appear in no new answers."""
 
 import signal
 import time
@@ -10,21 +10,22 @@
 from tests.integration import callers
 
 
-class LeavingTest(base.DeploymentCase):
-    """Leaving endpoints and instances."""
+class DrainingTest(base.DeploymentCase):
+    """Endpoints and entries that drain, stop or are killed."""
 
     def addresses(self, number):
-        """Return the addresses that entry ``number`` names."""
+        """Return the addresses that entry ``number`` answers with."""
         answer = httpx.get(self.url(number) + "/v1/addresses").json()
         return [row["address"] for row in answer["addresses"]]
 
-    def test_a_leaving_entry_is_in_no_new_answer(self):
-        """An entry is asked to stop and goes on serving for a while.
+    def test_a_draining_entry_is_in_no_new_answer(self):
+        """Guards against sending callers to an entry that drains.
 
-        The instance list still shows it, as it always lags.
+        The entry still serves for a while, and the instance list, which
+        lags, still has it.
         """
-        # Callers keep this answer longer than the others take to drop it on
-        # a busy machine, so that one still comes afterwards.
+        # Longer than the other entries take to remove the address on a busy
+        # machine, so that the drain lasts until the stream below.
         limits = {"keep_addresses_ms": 5_000}
         self.bring_up(3, 1, entry_2={"limits": limits})
         gone = self.url(2).removeprefix("http://")
@@ -43,8 +44,8 @@
         )
         self.assertEqual(0, self.dep.wait_end("entry-2"))
 
-    def test_a_killed_entry_leaves_the_answers(self):
-        """An entry dies without a word."""
+    def test_a_killed_entry_is_removed_from_answers(self):
+        """An entry is killed and announces nothing."""
         self.bring_up(3, 1)
         gone = self.url(2).removeprefix("http://")
         self.dep.kill("entry-2")
@@ -53,10 +54,11 @@
         )
 
     def test_a_draining_engine_gets_no_new_work_with_the_log_down(self):
-        """The log goes down right after the drain was accepted.
+        """Guards against new work for a draining engine in a log outage.
 
-        Some entries may not have read the record yet; they get it from
-        their peers, and the engine itself is told by its steward.
+        The log goes down right after the drain was accepted.  Entries that
+        have not read the record get it from peers, and the engine gets its
+        order from its steward.
         """
         self.bring_up()
         self.dep.operate("drain", "engine-1")
@@ -71,7 +73,7 @@
         self.assertEqual(before, after)
 
     def test_a_second_interrupt_ends_at_once(self):
-        """An operator has no time to wait for the streams."""
+        """A second SIGINT skips the drain."""
         self.bring_up(2, 1)
         process = self.dep.process_by_name["entry-2"]
         process.send_signal(signal.SIGINT)
@@ -80,8 +82,8 @@
         self.assertEqual(3, self.dep.wait_end("entry-2", 5))
         self.assertIn("stopped at once", self.dep.log_of("entry-2"))
 
-    def test_a_second_term_does_not_shorten_the_drain(self):
-        """The platform repeats SIGTERM while callers still come."""
+    def test_a_second_sigterm_does_not_shorten_the_drain(self):
+        """The platform repeats SIGTERM while callers still connect."""
         self.bring_up(2, 1)
         self.dep.terminate("entry-2")
         time.sleep(0.2)
--- a/tests/integration/test_whole_path.py
+++ b/tests/integration/test_whole_path.py
@@ -1,4 +1,4 @@
-"""The whole path: published, asked, connected, answered."""
+"""The whole path, from published configuration to answered request."""
 
 import unittest
 
@@ -9,11 +9,11 @@
 
 
 class WholePathTest(unittest.TestCase):
-    """Two entries, two stewards, two engines, a service, the platform."""
+    """Two entries, stewards and engines, a service and the platform."""
 
     @classmethod
     def setUpClass(cls):
-        """Bring the deployment up once."""
+        """Start the deployment once for all tests."""
         cls.dep = bringup.Deployment()
         cls.addClassCleanup(cls.dep.close)
         dep = cls.dep
@@ -37,19 +37,19 @@
 
     @classmethod
     def addresses(cls):
-        """Ask one entry where to connect."""
+        """Return the answer of one entry to /v1/addresses."""
         url = f"{cls.dep.callers('entry-1')}/v1/addresses"
         return cls.dep.http.get(url).json()
 
-    def test_a_streamed_answer_is_whole(self):
-        """Each address that the system names streams a whole answer."""
+    def test_a_streamed_answer_is_complete(self):
+        """Each published address streams a complete answer."""
         for row in self.addresses()["addresses"]:
             events = callers.stream(f"http://{row['address']}", "a b c", 9)
             self.assertEqual(
                 callers.expected("a b c", 9), callers.texts(events)
             )
 
-    def test_a_whole_answer_is_assembled(self):
+    def test_an_answer_without_streaming(self):
         """Without ``stream`` the answer is one chat completion."""
         answer = httpx.post(
             self.dep.callers("entry-1") + "/v1/chat/completions",
@@ -74,7 +74,7 @@
         self.assertEqual(1, runs["clinic/key-1"])
 
     def test_a_lookup_needs_no_key(self):
-        """An idempotent call passes without the log."""
+        """An idempotent call needs no idempotency key."""
         answer = httpx.get(
             self.dep.callers("entry-1") + "/services/orders/status?x=1",
             headers={"X-Class": "lookup"},
@@ -82,7 +82,7 @@
         self.assertEqual(200, answer.status_code, answer.text)
 
     def test_errors_are_problems(self):
-        """Each wrong input gets a problem document with a code."""
+        """Each invalid request gets a problem document with a code."""
         url = self.dep.callers("entry-1")
         cases = [
             ("/v1/completions", b"{", "bad_request"),
@@ -104,17 +104,17 @@
                 "application/problem+json", answer.headers["content-type"]
             )
 
-    def test_strangers_are_refused(self):
-        """A control call without the token gets 401."""
+    def test_control_calls_need_the_token(self):
+        """A control call without the token is answered with 401."""
         where = self.dep.address_by_name["entry-1"]
         for path in ("/control/status", "/streams/control/records"):
             answer = httpx.get(f"http://{where}{path}")
             self.assertEqual(401, answer.status_code)
 
     def test_too_many_open_requests_are_refused(self):
-        """Callers open more streams than an entry may hold.
+        """Guards against open streams that use up an entry's memory.
 
-        Unbounded, they would take its memory; refused, they go elsewhere.
+        Requests over the limit are refused, so that callers go elsewhere.
         """
         dep = self.dep
         dep.instance("entry-9", "a", "entry", limits={"requests": 1})
@@ -129,7 +129,7 @@
         dep.kill("entry-9")
 
     def test_status_shows_the_whole_system(self):
-        """The command line finds every process and every scope."""
+        """The operator's ``status`` lists every process and every scope."""
 
         def scopes():
             return self.dep.operate("status")["scopes"]
@@ -138,7 +138,7 @@
         status = self.dep.operate("status")
         known = {"entry-1/entry", "entry-2/entry"}
         known |= {"steward-1/steward", "steward-2/steward"}
-        # Another test's entry may have been killed a moment ago.
+        # The entry that another test killed may still be listed.
         found = set(status["instances"]) - {"entry-9/entry"}
         self.assertEqual(known, found)
         self.assertIn("endpoints/a", status["scopes"])
