--- a/tests/integration/test_crashing.py
+++ b/tests/integration/test_crashing.py
@@ -1,4 +1,4 @@
-"""A request that crashes each endpoint that runs it."""
+"""Requests that crash every endpoint that runs them."""
 
 import httpx
 
@@ -8,10 +8,10 @@
 
 
 class CrashingTest(base.DeploymentCase):
-    """Work that takes its endpoint down, resent through every entry."""
+    """Crashing requests, resent through every entry."""
 
     def up(self, kind, count):
-        """Return how many endpoints of a kind are still running."""
+        """Return how many endpoints of a kind are running."""
         names = [f"{kind}-{n}" for n in range(1, count + 1)]
         return sum(
             self.dep.process_by_name[name].poll() is None for name in names
@@ -29,7 +29,7 @@
         self.bring_up(3, 1, prepare)
 
     def send(self, number, prompt):
-        """Send model work and return the answer."""
+        """Send a model request and return the answer."""
         return httpx.post(
             self.url(number) + "/v1/completions",
             json={"model": bringup.MODEL, "prompt": prompt},
@@ -38,9 +38,10 @@
         )
 
     def test_resent_through_every_entry_one_after_another(self):
-        """The caller tries each address in turn, twice.
+        """Guards against a further crash with each resend.
 
-        Without marks each try would take down another engine.
+        The caller tries each address in turn, twice.  Without crash records
+        each try would crash another engine.
         """
         self.bring_up_many()
         codes = [
@@ -53,7 +54,7 @@
         self.assertEqual(200, other.status_code, other.text)
 
     def test_resent_through_every_entry_at_once(self):
-        """The caller sends the request to all addresses together."""
+        """Guards against a crash for each copy sent at the same time."""
         self.bring_up_many()
         work = base.Background(
             self.send, [(n, "poison together") for n in (1, 2, 3)]
@@ -62,10 +63,10 @@
         self.send(1, "poison together")
         self.assertGreaterEqual(self.up("engine", 5), 3)
 
-    def test_streams_beside_it_go_on(self):
-        """Long streams share the engines that go down.
+    def test_other_streams_on_crashing_engines_complete(self):
+        """Guards against other streams cut by a crash or blamed for it.
 
-        They must end whole, and must not be taken for the cause.
+        Long streams share the engines that the request crashes.
         """
         self.bring_up_many()
         work = base.Background(
@@ -82,11 +83,11 @@
             self.assertEqual(callers.expected(f"beside {number}", 60), events)
         self.assertGreaterEqual(self.up("engine", 5), 3)
 
-    def test_it_crashes_the_engines_of_prompts(self):
-        """The prompt is worked off at one engine, the tokens at another.
+    def test_a_request_that_crashes_prefill_engines(self):
+        """Guards against a prefill crash that is blamed on the decode engine.
 
-        The request takes down the first.  Blamed on the second, it would
-        never be recognised and take down all engines that do prompts.
+        The request crashes its prefill engine.  With the decode engine in
+        the crash record, it would crash all prefill engines.
         """
 
         def prepare(dep):
@@ -95,7 +96,7 @@
                 options = [f"--role={role}", "--prefill-us=500"]
                 dep.engine(f"engine-{number}", "a", options=options, role=role)
             dep.service("orders-1", "a")
-            # Tight enough that only the split of the roles meets it.
+            # Tight enough that only split prefill and decode meet it.
             dep.fleet["class"]["drafting"]["gap_ms"] = 12
 
         self.bring_up(3, 1, prepare)
@@ -106,7 +107,7 @@
         self.assertEqual("crashed_endpoints", answer.json()["code"])
 
     def takes_split(self):
-        """Tell whether every entry knows the roles and uses them."""
+        """Return whether every entry has split a request by roles."""
         for number in (1, 2, 3):
             self.send(number, f"{number} sound " * 600)
         return all(
@@ -114,7 +115,7 @@
         )
 
     def test_a_lookup_that_crashes_services(self):
-        """The same for an idempotent call to a plain service."""
+        """Guards against idempotent calls that crash all services."""
         self.bring_up_many()
         for number in (1, 2, 3, 1, 2, 3):
             answer = httpx.post(
--- a/tests/integration/test_entry_drain.py
+++ b/tests/integration/test_entry_drain.py
@@ -1,4 +1,4 @@
-"""What a draining entry takes and what it refuses."""
+"""Requests that a draining entry accepts and refuses."""
 
 import contextlib
 import time
@@ -11,20 +11,20 @@
 
 
 def slow(dep):
-    """Start a service that takes two seconds for a call."""
+    """Start a service that takes 2 s for each call."""
     dep.service("orders-1", "a", options=("--delay-ms=2000",))
 
 
-class EntryDrain(base.DeploymentCase):
-    """An entry that has less time left than some classes may take."""
+class EntryDrainTest(base.DeploymentCase):
+    """A drain that is shorter than the deadlines of some classes."""
 
     def setUp(self):
-        """Start two entries and let the second one drain for 4 s at most."""
+        """Start two entries; the second one drains for 4 s at most."""
         limits = {"keep_addresses_ms": 2_500, "drain_ms": 4_000}
         self.bring_up(2, 1, prepare=self.prepare, entry_2={"limits": limits})
 
     def prepare(self, dep):
-        """Add endpoints and classes that a drain has time for."""
+        """Add endpoints, and classes whose deadlines fit into the drain."""
         dep.engine("engine-1", "a", options=("--gap-ms=20",))
         dep.service("orders-1", "a")
         dep.classes(
@@ -32,7 +32,7 @@
                 "kind": "model",
                 "first_ms": 1_000,
                 "gap_ms": 200,
-                # Refused before the entry may end, so that callers see it.
+                # Short enough to be refused before the entry may exit.
                 "deadline_ms": 2_000,
             },
             quick={
@@ -43,7 +43,7 @@
         )
 
     def drain(self):
-        """Send SIGTERM and wait until the entry drains."""
+        """Send SIGTERM to entry-2 and wait until it drains."""
         self.dep.terminate("entry-2")
         bringup.wait_until(
             lambda: self.dep.status("entry-2")["state"] != "live",
@@ -51,7 +51,7 @@
         )
 
     def complete(self, text, tokens):
-        """Ask the draining entry for a streamed answer."""
+        """Request a streamed answer from the draining entry."""
         return httpx.post(
             f"{self.url(2)}/v1/completions",
             json={
@@ -65,14 +65,14 @@
         )
 
     def check_refused(self, answer):
-        """Check that ``answer`` says that nothing was run, and why."""
+        """Check that ``answer`` is a refusal with verdict and reason."""
         self.assertEqual(503, answer.status_code, answer.text)
         body = answer.json()
         self.assertEqual("not_run", body["verdict"])
         self.assertIn("leaving", body["detail"])
         self.assertEqual("close", answer.headers["connection"])
 
-    def test_work_longer_than_the_rest_of_a_drain_is_not_begun(self):
+    def test_requests_longer_than_the_rest_of_a_drain_are_refused(self):
         before = self.dep.ask("engine-1", "/state")["arrived"]
         self.drain()
         start = time.monotonic()
@@ -83,7 +83,7 @@
         self.assertEqual(before, after)
         self.assertEqual(0, self.dep.wait_end("entry-2", 10))
 
-    def test_work_that_fits_into_the_rest_of_a_drain_is_served(self):
+    def test_requests_that_fit_into_the_rest_of_a_drain_are_served(self):
         self.drain()
         headers = {"X-Class": "short"}
         events = callers.stream(self.url(2), "short", 5, headers)
@@ -97,7 +97,7 @@
         self.assertEqual(200, answer.status_code, answer.text)
         self.assertEqual(0, self.dep.wait_end("entry-2", 10))
 
-    def test_work_begun_before_the_stop_is_finished(self):
+    def test_requests_open_at_the_stop_are_completed(self):
         asked = base.Background(
             callers.stream, [(self.url(2), "before the stop", 100)]
         )
@@ -110,7 +110,7 @@
             callers.texts(rows[0][1]),
         )
 
-    def test_callers_that_come_until_the_end_get_whole_answers(self):
+    def test_requests_sent_until_the_exit_get_complete_answers(self):
         self.drain()
         asked = base.Background(self.ask_until_the_end, [()] * 4)
         rows = asked.join()
@@ -120,7 +120,7 @@
         self.assertEqual(0, self.dep.wait_end("entry-2", 5))
 
     def ask_until_the_end(self):
-        """Return the statuses of answers until the process ended."""
+        """Return the statuses of answers up to the exit of the process."""
         statuses = set()
         while self.dep.process_by_name["entry-2"].poll() is None:
             with contextlib.suppress(httpx.ConnectError):
@@ -128,7 +128,7 @@
         return statuses
 
     def ask_short(self):
-        """Return the status of a whole answer, ``None`` if none began."""
+        """Return the status of a complete answer, ``None`` if none began."""
         body = {"model": bringup.MODEL, "prompt": "again", "stream": True}
         request = httpx.stream(
             "POST",
@@ -149,15 +149,15 @@
             return answer.status_code
 
 
-class SlowCalls(base.DeploymentCase):
-    """One entry that drains for three seconds at most."""
+class SlowCallsTest(base.DeploymentCase):
+    """One entry that drains for 3 s at most."""
 
     def ask(self, url):
-        """Send one call on a connection of its own."""
+        """Send one call on a new connection."""
         headers = {"X-Class": "lookup"}
         return httpx.get(url, headers=headers, timeout=10, trust_env=False)
 
-    def test_a_call_longer_than_the_rest_of_a_stop_is_not_begun(self):
+    def test_a_call_longer_than_the_rest_of_a_drain_is_refused(self):
         self.bring_up(
             entries=1,
             stewards=1,
@@ -169,7 +169,7 @@
         time.sleep(0.5)
         self.dep.terminate("entry-1")
         time.sleep(1)
-        # Taken before the keeping time of addresses is over.
+        # Sent while callers may still use the addresses that they keep.
         late = self.ask(url)
         self.assertEqual(late.status_code, 503)
         self.assertEqual(late.json()["verdict"], "not_run")
--- a/tests/integration/test_streams.py
+++ b/tests/integration/test_streams.py
@@ -1,4 +1,4 @@
-"""The whole answer, whatever engines, entries and networks do to it."""
+"""Streams are complete despite faults of engines, entries and networks."""
 
 import time
 
@@ -10,10 +10,10 @@
 
 
 class EngineFaultsTest(base.DeploymentCase):
-    """One faulty engine, one sound one, one entry."""
+    """One faulty engine, one healthy one and one entry."""
 
     def bring_up_two(self, **engine_options):
-        """Start engine-1, which will be faulty, near; engine-2 far."""
+        """Start engine-1, the faulty one, near the entry and engine-2 far."""
 
         def prepare(dep):
             dep.engine("engine-1", "a", **engine_options)
@@ -22,7 +22,7 @@
         self.bring_up(1, 1, prepare)
 
     def check_whole(self, prompt="a long history", tokens=12, count=4):
-        """Read some answers and check every position and text."""
+        """Stream ``count`` answers and check every position and text."""
         for number in range(count):
             text = f"{prompt} {number}"
             events = callers.stream(self.url(), text, tokens)
@@ -30,37 +30,37 @@
                 callers.expected(text, tokens), callers.texts(events)
             )
 
-    def test_doubled_and_late_pieces_are_dropped(self):
-        """An engine repeats positions that it sent before.
+    def test_repeated_positions_are_dropped(self):
+        """Guards against duplicate text in an answer.
 
-        A caller would read words twice.
+        An engine repeats positions that it sent before.
         """
         self.bring_up_two()
         self.dep.faults("engine-1", mode="double")
         self.check_whole()
 
     def test_a_gap_is_filled_from_another_engine(self):
-        """An engine leaves a position out.
+        """Guards against answers that lack text unnoticed.
 
-        A caller would read an answer that lacks a word and not know it.
+        An engine leaves a position out.
         """
         self.bring_up_two()
         self.dep.faults("engine-1", mode="gap")
         self.check_whole()
 
-    def test_a_truncated_answer_goes_on_elsewhere(self):
-        """An engine closes the stream in good order, but too early.
+    def test_a_truncated_answer_is_resumed_elsewhere(self):
+        """Guards against a truncated answer taken for a complete one.
 
-        A caller would take the short answer for the whole one.
+        An engine closes the stream cleanly, but too early.
         """
         self.bring_up_two()
         self.dep.faults("engine-1", mode="truncate")
         self.check_whole()
 
-    def test_a_stuck_engine_is_left(self):
-        """An engine takes the request and then says nothing.
+    def test_a_stuck_engine_is_abandoned(self):
+        """Guards against waiting for a stuck engine until the deadline.
 
-        A caller would wait until the deadline of the class.
+        An engine accepts the request and then sends nothing.
         """
 
         def prepare(dep):
@@ -85,9 +85,9 @@
         self.assertLess(time.monotonic() - started, 15)
 
     def test_a_killed_engine_does_not_end_its_streams(self):
-        """The engine's process dies in the middle of many streams.
+        """Guards against broken answers when an engine's process is killed.
 
-        Their callers would see broken answers.
+        The engine is in the middle of many streams.
         """
         self.bring_up_two(options=["--gap-ms=40"])
         work = base.Background(
@@ -104,9 +104,9 @@
         self.assertEqual(8, len(work.results))
 
     def test_a_connection_cut_in_an_event_is_resumed(self):
-        """The network breaks while a piece of an event is under way.
+        """Guards against partial and lost events after a connection breaks.
 
-        Half an event must not reach the caller, nor be lost.
+        The connection is cut in the middle of an event.
         """
 
         def prepare(dep):
@@ -131,13 +131,13 @@
 
 
 class EntryLostTest(base.DeploymentCase):
-    """An entry dies under its callers."""
+    """An entry is killed or paused while it serves callers."""
 
-    def test_a_caller_goes_on_at_another_entry(self):
-        """The entry is killed in mid-stream; the caller knows its position.
+    def test_a_caller_resumes_at_another_entry(self):
+        """Guards against repeated positions when a caller changes entries.
 
-        Without the position the caller would have to read the answer from
-        the start, or would see positions twice.
+        The entry is killed in mid-stream; the caller sends its last position
+        to another entry.
         """
         self.bring_up(2, 1)
         seen = []
@@ -166,8 +166,8 @@
             callers.expected("entry lost", 60), callers.texts(seen + rest)
         )
 
-    def test_a_paused_entry_holds_up_nobody_else(self):
-        """An entry is paused; callers of the others go on as before."""
+    def test_a_paused_entry_delays_no_callers_of_others(self):
+        """Callers of one entry are served while another is paused."""
         self.bring_up(2, 1)
         self.dep.pause("entry-1")
         events = callers.stream(self.url(2), "others", 10)
