--- a/clementinewall/platform/settings.py
+++ b/clementinewall/platform/settings.py
@@ -99,14 +99,14 @@
     """Return ``data`` without unknown keys, at every level."""
     if not isinstance(data, dict):
         return data
-    kept = {}
+    known_data = {}
     for name, hint in typing.get_type_hints(shape).items():
         if name in data:
             value = data[name]
             if hasattr(hint, "_fields"):
                 value = _drop_unknown_keys(hint, value)
-            kept[name] = value
-    return kept
+            known_data[name] = value
+    return known_data
 
 
 def _translate(known):
