--- a/clementinewall/lab/gateway.py
+++ b/clementinewall/lab/gateway.py
@@ -1,9 +1,9 @@
-"""Gateways in virtual time: the real ones' decisions, without sockets.
+"""Simulated gateways: the production decisions without sockets.
 
-What a gateway knows and decides is the product's own code: its table of
-peers, its cell, its view of the engines' queues and caches, its placing.
-Only the tasks that carry messages and requests are written anew here, for
-virtual time.
+The state and the decisions of a gateway are the production code: the peer
+table, the cell membership, the view of the engines' queues and caches, and
+the placement.  Only the tasks that carry messages and requests are
+reimplemented here, for virtual time.
 """
 
 from clementinewall import domain
@@ -15,113 +15,122 @@
 from clementinewall.gateway import peers
 from clementinewall.gateway import placing
 
-# What a gateway itself takes for a step: a wake-up, parsing and deciding.
-STEP_MS = 1.5
+# Time of the gateway process per message: wake-up, parsing and decision.
+PROCESSING_MS = 1.5
 
 
 class Gateway:
-    """What one gateway knows, and how it tells its peers."""
+    """The state of one gateway and its messages to its peers."""
 
-    def __init__(self, ip, configuration, endpoint_by_id, network, loop):
-        """Know all engines and, after the first messages, the peers.
+    def __init__(self, ip, configuration, endpoint_by_id, deliver, loop):
+        """Start with all engines known and no peers.
 
-        ``network(ip, tell)`` calls ``tell`` with that peer later, or never.
+        ``deliver(ip, receive)`` calls ``receive`` with the gateway at ``ip``
+        after the network delay, or never if the message is lost.
         """
         self.ip = ip
         self._loop = loop
-        self._network = network
-        known = fleet_view.FleetView(loop.read)
-        known.configuration = configuration
-        known.endpoint_by_id = endpoint_by_id
-        self.endpoints = endpoints.Endpoints(known, loop.read)
-        self.table = peer_table.PeerTable(ip, loop.read)
+        self._deliver = deliver
+        view = fleet_view.FleetView(loop.time_ms)
+        view.configuration = configuration
+        view.endpoint_by_id = endpoint_by_id
+        self.endpoints = endpoints.Endpoints(view, loop.time_ms)
+        self.table = peer_table.PeerTable(ip, loop.time_ms)
         self._cell_membership = cell_membership.CellMembership(
-            _settings(ip), known
+            _settings(ip), view
         )
         self.placer = placing.Placer(
             _settings(ip),
             self.endpoints,
             self,
             self._cell_membership,
-            loop.read,
+            loop.time_ms,
         )
-        self._last_work = {}
+        self._last_sent_work = {}
         self._sent_at = -peers.HEARTBEAT_INTERVAL_MS
-        self._is_planned = False
+        self._is_send_scheduled = False
 
     def start(self, ips):
-        """Learn who the others are and begin to tell them.
+        """Register the peers and start sending them state.
 
-        No gateway comes or goes in the lab, so cells are dealt once.
+        No gateway joins or leaves in the lab, so cells are assigned once.
         """
         for ip in ips:
             self.table.register(ip)
         self._cell_membership.update([ip for ip in ips if ip != self.ip])
-        self._plan(peers.MAX_CHANGE_DELAY_MS)
-        self._tell_far(ips)
+        self._schedule_check(peers.MAX_CHANGE_DELAY_MS)
+        self._send_to_other_cells(ips)
 
-    def _tell_far(self, ips):
-        """Tell those outside of the cell, all at once, what engines keep."""
+    def _send_to_other_cells(self, ips):
+        """Send the cache holders to all gateways of other cells at once."""
         period = peers.REMOTE_INTERVAL_MS * peers.REMOTE_ROUNDS
         rows = self.endpoints.cache_holders.message(period)
         for ip in ips:
             if ip != self.ip and not self._cell_membership.is_cell_gateway(ip):
-                self._network(ip, lambda peer: peer.hear_far(rows))
-        self._loop.after(period, self._tell_far, ips)
+                self._deliver(
+                    ip, lambda peer: peer.receive_from_other_cell(rows)
+                )
+        self._loop.after(period, self._send_to_other_cells, ips)
 
-    def close_ips(self):
-        """Return the peers that share this gateway's engines."""
+    def cell_ips(self):
+        """Return the addresses of the peers in this gateway's cell."""
         return [
             ip
             for ip in self.table.ips
             if self._cell_membership.is_cell_gateway(ip)
         ]
 
-    def tell(self):
-        """Let the others know of a new prompt as soon as that is due."""
-        if not self._is_planned:
-            gap = peers.SEND_GAP_MS_PER_PEER * max(1, len(self.close_ips()))
-            self._is_planned = True
+    def notify(self):
+        """Schedule a send of the changed state after the minimum gap."""
+        if not self._is_send_scheduled:
+            gap = peers.SEND_GAP_MS_PER_PEER * max(1, len(self.cell_ips()))
+            self._is_send_scheduled = True
             self._loop.after(
-                self._sent_at + gap - self._loop.now, self._send_new
+                self._sent_at + gap - self._loop.now, self._send_scheduled
             )
 
-    def _plan(self, ms):
-        self._loop.after(ms, self._send_changes)
+    def _schedule_check(self, ms):
+        self._loop.after(ms, self._send_if_changed)
 
-    def _send_new(self):
-        self._is_planned = False
+    def _send_scheduled(self):
+        self._is_send_scheduled = False
         self._send(self.endpoints.work_by_endpoint_id())
 
-    def _send_changes(self):
+    def _send_if_changed(self):
         work = self.endpoints.work_by_endpoint_id()
-        old = self._loop.now - self._sent_at >= peers.HEARTBEAT_INTERVAL_MS
-        if work != self._last_work or old:
+        is_heartbeat_due = (
+            self._loop.now - self._sent_at >= peers.HEARTBEAT_INTERVAL_MS
+        )
+        if work != self._last_sent_work or is_heartbeat_due:
             self._send(work)
-        self._plan(peers.MAX_CHANGE_DELAY_MS)
+        self._schedule_check(peers.MAX_CHANGE_DELAY_MS)
 
     def _send(self, work):
-        self._last_work = work
+        self._last_sent_work = work
         self._sent_at = self._loop.now
-        sign = peer_messages.Heartbeat(self.ip, "", "", True, self._loop.now)
+        heartbeat = peer_messages.Heartbeat(
+            self.ip, "", "", True, self._loop.now
+        )
         state = peer_messages.GatewayState(
-            sign,
+            heartbeat,
             work,
             {},
             estimate_by_service=self.endpoints.scales.estimate_by_service(),
         )
-        read = self.endpoints.drain_prefills()
-        for ip in self.close_ips():
-            self._network(ip, lambda peer: peer.hear(self.ip, state, read))
+        prefilled = self.endpoints.drain_prefills()
+        for ip in self.cell_ips():
+            self._deliver(
+                ip, lambda peer: peer.receive(self.ip, state, prefilled)
+            )
 
-    def hear(self, ip, state, read):
-        """Take in what a peer of the cell told."""
-        for endpoint_id, parts in read:
+    def receive(self, ip, state, prefilled):
+        """Apply the state and the prefills that a peer of the cell sent."""
+        for endpoint_id, parts in prefilled:
             self.endpoints.apply_peer_prefill(endpoint_id, parts)
         self.table.record_state(ip, state)
 
-    def hear_far(self, rows):
-        """Take in which engines keep what, from a gateway of another cell."""
+    def receive_from_other_cell(self, rows):
+        """Merge the cache holders that a gateway of another cell sent."""
         self.endpoints.cache_holders.merge(rows)
 
 
