--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -25,8 +25,8 @@
 from tests.integration import test_gateway_streams as streams
 
 EVENTS = 40
-PAUSE_SECONDS = 0.004
-REST_SECONDS = 5.0
+EVENT_INTERVAL_SECONDS = 0.004
+IDLE_SECONDS = 5.0
 DATAGRAMS = 3_000
 DATAGRAM_GAP_SECONDS = 0.0005
 PEER_IP = "127.0.0.9"
@@ -39,10 +39,10 @@
     profile = None
 
     def runTest(self):
-        """Nothing is tested here."""
+        """Do nothing: only the set-up of the test case is used."""
 
-    def begin(self):
-        """Start everything; return where callers connect."""
+    def bring_up(self):
+        """Start all parts; return the address for callers."""
         self.setUp()
         self.publish(
             gateway_base.route("look", "app", "safe"),
@@ -60,7 +60,7 @@
         return front
 
     def cpu_us(self):
-        """Return the processor time of the gateway so far."""
+        """Return the processor time of the gateway so far, in microseconds."""
         pid = self.dep.process_by_name["gateway-1"].pid
         fields = pathlib.Path(f"/proc/{pid}/stat").read_text().split()
         return (int(fields[13]) + int(fields[14])) / TICKS * 1e6
@@ -71,35 +71,37 @@
     yield scripted.stream_head(request)
     for number in range(1, int(request.body or 1) + 1):
         yield scripted.chunk(scripted.event(number, "x" * 80))
-        yield PAUSE_SECONDS
+        yield EVENT_INTERVAL_SECONDS
     yield scripted.chunk(b"")
 
 
-class _Meter:
-    """Measures what one piece of work adds to the cost at rest."""
+class _CpuMeter:
+    """Measures the processor time that work adds to an idle gateway."""
 
     def __init__(self, case):
         self._case = case
         start = case.cpu_us()
-        time.sleep(REST_SECONDS)
-        self.rest_us = (case.cpu_us() - start) / REST_SECONDS
+        time.sleep(IDLE_SECONDS)
+        self.idle_us_per_second = (case.cpu_us() - start) / IDLE_SECONDS
 
-    def each(self, work, count):
-        """Return the microseconds that each of ``count`` pieces adds."""
+    def us_per_item(self, work, count):
+        """Return the microseconds that each of ``count`` items adds."""
         start = self._case.cpu_us()
         began = time.monotonic()
         work(count)
-        rest = (time.monotonic() - began) * self.rest_us
-        return (self._case.cpu_us() - start - rest) / count
+        idle_us = (time.monotonic() - began) * self.idle_us_per_second
+        return (self._case.cpu_us() - start - idle_us) / count
 
 
-def _datagrams(port):
-    """Return work that sends a peer's state, with new work each time."""
+def _datagram_work(port):
+    """Return a function that sends a number of peer state datagrams."""
     now = time.monotonic_ns() // 1_000_000
     jobs = (prefill_queue.Job(1, 33.0, now),) * 2
     work = {f"i-{n:08x}": peer_messages.Work(jobs, 4, now) for n in range(4)}
-    sign = peer_messages.Heartbeat(PEER_IP, f"{PEER_IP}:1", "a", True, now)
-    state = peer_messages.GatewayState(sign, work, {})
+    heartbeat = peer_messages.Heartbeat(
+        PEER_IP, f"{PEER_IP}:1", "a", True, now
+    )
+    state = peer_messages.GatewayState(heartbeat, work, {})
     raw = peer_messages.dump(
         {
             "state": peer_messages.encode_state(state, now),
@@ -118,7 +120,7 @@
     return send
 
 
-def _requests(case, front, path, body):
+def _request_work(case, front, path, body):
     headers = dict(streams.MODEL_HEADERS, content=body)
 
     def send(count):
@@ -130,27 +132,29 @@
 
 
 def measure(requests, profile=None):
-    """Return microseconds by what they are spent on."""
+    """Return microseconds of processor time by kind of work."""
     case = _Case()
     case.profile = profile
     try:
-        front = case.begin()
-        meter = _Meter(case)
-        plain = _requests(case, front, "/look/x", b"")
-        short = _requests(case, front, "/chat/x", b"1")
-        long = _requests(case, front, "/chat/x", b"%d" % EVENTS)
-        short_us = meter.each(short, requests)
-        long_us = meter.each(long, requests // 5)
-        found = {
-            "a second at rest": meter.rest_us,
-            "a plain call": meter.each(plain, requests),
+        front = case.bring_up()
+        meter = _CpuMeter(case)
+        plain = _request_work(case, front, "/look/x", b"")
+        short = _request_work(case, front, "/chat/x", b"1")
+        long = _request_work(case, front, "/chat/x", b"%d" % EVENTS)
+        short_us = meter.us_per_item(short, requests)
+        long_us = meter.us_per_item(long, requests // 5)
+        us_by_work = {
+            "a second at rest": meter.idle_us_per_second,
+            "a plain call": meter.us_per_item(plain, requests),
             "a stream of one event": short_us,
             "a further event": (long_us - short_us) / (EVENTS - 1),
-            "a datagram": meter.each(_datagrams(case._peer_port()), DATAGRAMS),
+            "a datagram": meter.us_per_item(
+                _datagram_work(case._peer_port()), DATAGRAMS
+            ),
         }
         case.terminate()
         case.dep.process_by_name["gateway-1"].wait(20)
-        return found
+        return us_by_work
     finally:
         case.doCleanups()
 
@@ -158,8 +162,8 @@
 def main():
     """Measure and print."""
     options = docopt.docopt(__doc__)
-    found = measure(int(options["--requests"]), options["--profile"])
-    for name, micros in found.items():
+    us_by_work = measure(int(options["--requests"]), options["--profile"])
+    for name, micros in us_by_work.items():
         print(f"{name:24} {micros:10.0f} us")
 
 
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -25,8 +25,8 @@
 from bench import traces
 from clementinewall.records import configuration
 
-# One setting for each deployment over all traces: Harvest Crate weighs
-# goodput more, the Groupement role changes.
+# Engines and policy of each deployment, the same over all traces: Harvest
+# Crate gives goodput more weight, the Groupement the cost of role changes.
 DEPLOYMENTS = {
     "harvest": (6, configuration.Policy(change_price=0.2)),
     "groupement": (5, configuration.Policy(change_price=4.0)),
@@ -96,8 +96,8 @@
         "lost_engine_s": _mean(own, "lost_engine_ms") / 1_000,
         "refused": _mean(own, "refused") / _mean(own, "offered"),
         "hits": _mean(own, "cache_hits"),
-        "first_p95": statistics.mean(_p(r.firsts, 95) for r in own),
-        "gap_p95": statistics.mean(_p(r.gaps, 95) for r in own),
+        "first_p95": statistics.mean(_percentile(r.firsts, 95) for r in own),
+        "gap_p95": statistics.mean(_percentile(r.gaps, 95) for r in own),
         "good_others": _mean(own, "good_others"),
     }
 
@@ -106,7 +106,7 @@
     return statistics.mean(getattr(r, name) for r in results)
 
 
-def _p(values, percent):
+def _percentile(values, percent):
     if len(values) < 2:
         return 0.0
     return statistics.quantiles(values, n=100)[percent - 1]
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -8,9 +8,9 @@
   --seconds=S  Length of a round [default: 6].
   --rounds=N   Rounds of each, taken in turn [default: 3].
 
-The caller is a bare TCP client, so that what is measured is the entry.  The
-tokens that a core carries are worked out from the processor time that the
-entry's process took for those it passed on.
+The caller is a plain TCP client, so that the entry dominates the measured
+time.  Tokens per core second are the tokens relayed divided by the processor
+time of the entry's process.
 """
 
 import functools
@@ -29,8 +29,8 @@
 OPEN_TOKENS = 400
 
 
-class Round:
-    """What one round saw, in milliseconds."""
+class RoundResult:
+    """Measurements of one round, in milliseconds."""
 
     def __init__(self):
         """Start empty."""
@@ -56,7 +56,7 @@
     return head.encode() + body
 
 
-async def _stream(address, prompt, tokens, seen):
+async def _stream(address, prompt, tokens, result):
     host, _, port = address.rpartition(":")
     begin = time.perf_counter()
     async with await anyio.connect_tcp(host, int(port)) as connection:
@@ -69,31 +69,31 @@
                     continue
                 now = time.perf_counter()
                 if last is None:
-                    seen.firsts.append((now - begin) * 1e3)
+                    result.firsts.append((now - begin) * 1e3)
                 else:
-                    seen.gaps.append((now - last) * 1e3)
+                    result.gaps.append((now - last) * 1e3)
                 last = now
-                seen.tokens += piece.count(b"data:")
+                result.tokens += piece.count(b"data:")
         except anyio.EndOfStream:
             return
 
 
 async def _load(address, rate, seconds):
-    seen = Round()
+    result = RoundResult()
     async with anyio.create_task_group() as group:
         for number in range(int(rate * seconds)):
             prompt = f"bench {number}"
-            group.start_soon(_stream, address, prompt, TOKENS, seen)
+            group.start_soon(_stream, address, prompt, TOKENS, result)
             await anyio.sleep(1 / rate)
-    return seen
+    return result
 
 
 async def _hold_open(address, count, measure):
-    seen = Round()
+    result = RoundResult()
     async with anyio.create_task_group() as group:
         for number in range(count):
             group.start_soon(
-                _stream, address, f"open {number}", OPEN_TOKENS, seen
+                _stream, address, f"open {number}", OPEN_TOKENS, result
             )
             await anyio.sleep(0.01)
         await anyio.sleep(1.0)
@@ -103,14 +103,14 @@
 
 
 def measure(rate, seconds, rounds):
-    """Return the figures of all rounds as a map."""
+    """Return the figures of all rounds by name."""
     with bringup.Deployment() as dep:
         dep.platform()
         dep.classes()
         slots = f"--slots={OPEN_STREAMS * 2}"
         dep.engine("engine-1", "a", options=["--gap-ms=30", slots])
-        quiet = {"logging": {"level": "WARNING"}}
-        dep.instance("entry-1", "a", "entry", **quiet)
+        log_settings = {"logging": {"level": "WARNING"}}
+        dep.instance("entry-1", "a", "entry", **log_settings)
         dep.list_instances(["entry-1"])
         dep.publish()
         dep.wait_ready(["entry-1"])
