--- a/tests/integration/test_configuration.py
+++ b/tests/integration/test_configuration.py
@@ -1,4 +1,4 @@
-"""An accepted configuration is in force everywhere and never reverts."""
+"""An accepted configuration takes effect everywhere and never reverts."""
 
 import time
 
@@ -8,25 +8,28 @@
 
 
 class ConfigurationTest(base.DeploymentCase):
-    """Races, lost answers, outages, retention, pauses, replacement."""
+    """Configuration changes under races, outages and log retention."""
 
-    def names(self):
-        """Return the names of all programs."""
+    def instance_names(self):
+        """Return the names of all entries and stewards."""
         return self.entries + self.stewards
 
     def versions(self):
-        """Return the version in force at each program."""
-        return {n: self.dep.status(n)["version"] for n in self.names()}
+        """Return the active version by instance."""
+        return {
+            n: self.dep.status(n)["version"] for n in self.instance_names()
+        }
 
     def trim(self, keep):
-        """Let the log drop all but the newest records."""
+        """Make the log drop all but the newest ``keep`` records."""
         where = self.dep.address_by_name["log"]
         self.dep.http.post(f"http://{where}/trim", json={"keep": keep})
 
-    def test_racing_operators(self):
-        """Several operators change one endpoint at the same time.
+    def test_concurrent_changes_succeed_or_conflict(self):
+        """A change is lost without an error if two operators race.
 
-        Each is told whether its change was made; nobody's is lost unseen.
+        Six operators change one endpoint at once.  Each must succeed or get
+        a conflict, and all instances must end at the same version.
         """
         self.bring_up(2, 2)
 
@@ -43,10 +46,11 @@
         self.dep.operate("wait", str(version), "--timeout-ms=6000")
         self.assertEqual({version}, set(self.versions().values()))
 
-    def test_two_whole_publications_race(self):
-        """Two operators publish different documents over the same state.
+    def test_concurrent_publications_conflict(self):
+        """A publication overwrites another that it has not seen.
 
-        The loser hears of a conflict that names both versions.
+        Two operators publish different documents at once.  The later one
+        must get a conflict that names both versions.
         """
         self.bring_up(1, 1)
         paths = []
@@ -63,14 +67,18 @@
         done = [result for _, result in work.join()]
         codes = sorted(result.returncode for result in done)
         if codes == [0, 3]:
-            lost = next(r for r in done if r.returncode == 3)
-            self.assertRegex(lost.stderr, r"is at \d+, the change expects")
+            conflict = next(r for r in done if r.returncode == 3)
+            self.assertRegex(conflict.stderr, r"is at \d+, the change expects")
         else:
-            # They did not overlap: the second one saw the first.
+            # The publications did not overlap: the second saw the first.
             self.assertEqual([0, 0], codes)
 
-    def test_a_lost_answer_is_one_change(self):
-        """The log takes a publication but its answer is lost."""
+    def test_lost_answer_of_the_log_makes_one_change(self):
+        """A retry applies a change twice.
+
+        The log appends the change but its answer is lost, so the operator
+        has to find out whether the change was made.
+        """
         self.bring_up(1, 1)
         before = self.dep.operate("show")["version"]
         self.dep.faults("log", mode="lose_answers")
@@ -80,10 +88,10 @@
         self.assertGreater(answer["version"], before)
         self.assertEqual(answer["version"], shown["version"])
 
-    def test_a_new_process_in_an_outage(self):
-        """The log is down while a process starts with nothing.
+    def test_restart_while_the_log_is_down(self):
+        """A restarted entry does not serve while the log is down.
 
-        It takes the state from its peers and serves.
+        It starts without state and must fetch it from its peers.
         """
         self.bring_up(2, 1)
         self.dep.faults("log", mode="down")
@@ -93,8 +101,12 @@
         events = callers.stream(self.url(1), "outage", 5)
         self.assertEqual(callers.expected("outage", 5), callers.texts(events))
 
-    def test_a_new_process_with_no_source_says_so(self):
-        """The log is down and no peer is there: it serves nothing."""
+    def test_restart_without_log_and_peers_is_not_ready(self):
+        """A restarted entry serves without any configuration.
+
+        The log is down and no peer is running: it must refuse calls as not
+        run and log what it waits for.
+        """
         self.bring_up(1, 1)
         self.dep.faults("log", mode="down")
         self.dep.kill("steward-1")
@@ -111,14 +123,15 @@
         self.assertEqual("not_ready", answer.json()["code"])
         self.assertEqual("not_run", answer.json()["verdict"])
 
-    def test_the_log_drops_the_last_configuration(self):
-        """Retention passes the record that is in force.
+    def test_snapshot_restores_a_version_that_the_log_dropped(self):
+        """The active configuration is lost to log retention.
 
-        All processes are then replaced; the snapshot must bring it back.
+        The log drops the record of the active version, and then all
+        processes are restarted; the snapshot must restore the version.
         """
         platform = {"platform": {"retention_ms": 3000}}
-        names = ("entry_1", "entry_2", "steward_1", "steward_2")
-        self.bring_up(2, 2, **dict.fromkeys(names, platform))
+        instance_names = ("entry_1", "entry_2", "steward_1", "steward_2")
+        self.bring_up(2, 2, **dict.fromkeys(instance_names, platform))
         version = self.dep.operate("show")["version"]
         bringup.wait_until(
             lambda: any(
@@ -131,17 +144,18 @@
             lambda: all(v == version for v in self.versions().values()),
             what="the same version",
         )
-        for name in self.names():
+        for name in self.instance_names():
             self.dep.kill(name)
-        for name in self.names():
+        for name in self.instance_names():
             self.dep.start(name)
-        self.dep.wait_ready(self.names())
+        self.dep.wait_ready(self.instance_names())
         self.assertEqual({version}, set(self.versions().values()))
 
-    def test_a_process_that_wakes_catches_up(self):
-        """An entry sleeps through a change and through the retention.
+    def test_resumed_process_catches_up(self):
+        """A paused entry resumes with an old configuration.
 
-        It must neither serve by the old state for long nor pass it on.
+        The log drops the change while the entry is paused.  The entry must
+        soon reach the new version and must not spread the old one.
         """
         platform = {"platform": {"retention_ms": 3000}}
         self.bring_up(2, 2, steward_1=platform, steward_2=platform)
@@ -153,12 +167,15 @@
         bringup.wait_until(
             lambda: self.dep.status("entry-2")["version"] == version,
             6,
-            "the woken entry at the new version",
+            "the resumed entry at the new version",
         )
         self.assertEqual({version}, set(self.versions().values()))
 
-    def test_in_force_within_seconds(self):
-        """Ten changes in a row, each timed until it is in force."""
+    def test_change_is_active_within_seconds(self):
+        """A change takes too long to take effect on all instances.
+
+        Ten changes in a row must each be active everywhere within 6 s.
+        """
         self.bring_up(3, 3)
         slowest = 0.0
         for number in range(10):
@@ -168,7 +185,7 @@
             bringup.wait_until(
                 lambda v=version: min(self.versions().values()) >= v,
                 6,
-                "the version in force",
+                "the version active on all instances",
             )
             slowest = max(slowest, time.monotonic() - started)
         self.assertLess(slowest, 6.0)
--- a/tests/integration/test_orders.py
+++ b/tests/integration/test_orders.py
@@ -1,35 +1,39 @@
-"""Orders of a holder that lost its authority while it was paused."""
+"""Orders of a lease holder that lost its lease while it was paused."""
 
 import time
 
 from standins import bringup
 from tests.integration import base
 
-BLOCK_MS = 12_000
+PAUSE_MS = 12_000
 
 
 class PausedHolderTest(base.DeploymentCase):
-    """The holder of a scope stops between its check and its write.
+    """An order of a former lease holder overrides the current holder's.
 
-    steward-1 prefers the scope of data centre a.  On its first order it
-    stops for longer than its lease, as a paused machine does; another
-    steward takes over and gives orders; then the first one goes on.
+    steward-1 holds the scope of data centre a.  It is paused between the
+    check of its lease and its first order, as on a paused machine, for
+    longer than the lease.  Another steward takes over and sends orders; then
+    steward-1 resumes and sends its own.
     """
 
     def pause_between_check_and_write(self, engine_options, **faults):
-        """Return the orders that the engine got from first to last."""
+        """Return all orders that the engine received, in order."""
 
         def prepare(dep):
             dep.engine("engine-1", "a", options=engine_options)
             dep.engine("engine-2", "b")
             dep.service("orders-1", "a")
 
-        faults = {"block_before_order_ms": BLOCK_MS, **faults}
-        # Awake again, the holder would take all others for dead and refuse
-        # by itself; with this it still asks the second steward.
-        patient = {"dead_after_ms": 60_000}
+        faults = {"block_before_order_ms": PAUSE_MS, **faults}
+        # With the default, the resumed holder would consider all other
+        # stewards dead and refuse by itself, without asking the second one.
+        late_failure_detection = {"dead_after_ms": 60_000}
         self.bring_up(
-            1, 3, prepare, steward_1={"faults": faults, "membership": patient}
+            1,
+            3,
+            prepare,
+            steward_1={"faults": faults, "membership": late_failure_detection},
         )
         self.assertEqual("steward-1", self.holder("endpoints/a"))
         self.dep.fleet["endpoint"]["engine-1"]["role"] = "prefill"
@@ -40,9 +44,11 @@
             lambda: "blocked on purpose" in self.dep.log_of("steward-1"),
             what="the holder's pause",
         )
-        bringup.wait_until(self.takeover, what="orders of a new holder")
-        count = self.dep.log_of("steward-1").count("blocked on purpose")
-        time.sleep(BLOCK_MS / 1000)
+        bringup.wait_until(
+            self.has_other_holder, what="orders of a new holder"
+        )
+        pauses = self.dep.log_of("steward-1").count("blocked on purpose")
+        time.sleep(PAUSE_MS / 1000)
         bringup.wait_until(
             lambda: (
                 "order failed" in self.dep.log_of("steward-1")
@@ -50,55 +56,57 @@
             ),
             what="the end of the pause",
         )
-        self.assertGreaterEqual(count, 1)
+        self.assertGreaterEqual(pauses, 1)
         return self.dep.ask("engine-1", "/orders")
 
-    def takeover(self):
-        """Tell whether another steward's order has taken effect."""
+    def has_other_holder(self):
+        """Tell whether the engine has received another steward's order."""
         orders = self.dep.ask("engine-1", "/orders")
         return any("steward-1" not in order["by"] for order in orders)
 
-    def stale(self, orders):
-        """Return the orders obeyed after one with a newer token."""
+    def stale_orders(self, orders):
+        """Return the orders obeyed after one with a larger fencing token."""
         obeyed = [o for o in orders if not o["refused"]]
         newest = -1
-        late = []
+        stale = []
         for order in obeyed:
             if order["fence"] < newest:
-                late.append(order)
+                stale.append(order)
             newest = max(newest, order["fence"])
-        return late
+        return stale
 
-    def test_an_engine_that_checks_refuses_the_late_order(self):
-        """The engine gets the old holder's order after the new one's.
+    def test_engine_refuses_a_stale_order_by_its_token(self):
+        """An engine obeys the former holder's order after the new one's.
 
-        Obeyed, it would take the engine away from work a second time.
+        It would be taken out of service a second time.  The engine must
+        refuse the order by its fencing token.
         """
         orders = self.pause_between_check_and_write([])
-        self.assertEqual([], self.stale(orders))
+        self.assertEqual([], self.stale_orders(orders))
         self.assertTrue(any(o["refused"] for o in orders), orders)
 
-    def test_an_engine_that_ignores_tokens_never_gets_it(self):
-        """The same for an engine that obeys whoever speaks to it.
+    def test_second_steward_stops_a_stale_order(self):
+        """An engine that ignores fencing tokens obeys the former holder.
 
-        The second steward sees that the claim was replaced and refuses.
+        The second steward, which checks each order, must see that the lease
+        was claimed by another holder and refuse.
         """
         orders = self.pause_between_check_and_write(["--ignore-fencing"])
-        self.assertEqual([], self.stale(orders))
+        self.assertEqual([], self.stale_orders(orders))
         self.assertIn("order_refused", self.refusals())
 
-    def test_without_the_second_check_it_does_get_it(self):
-        """The control: the same pause with the second check switched off.
+    def test_stale_order_is_obeyed_without_the_second_check(self):
+        """Show that the previous test can fail.
 
-        This shows that the test above can fail.
+        With the second check disabled, the engine receives the late order.
         """
         orders = self.pause_between_check_and_write(
             ["--ignore-fencing"], without_second_check=True
         )
-        self.assertEqual(1, len(self.stale(orders)), orders)
+        self.assertEqual(1, len(self.stale_orders(orders)), orders)
 
     def refusals(self):
-        """Return a word for each way in which late orders ended."""
+        """Return ``order_refused``, or all logs if none shows a refusal."""
         text = "".join(self.dep.log_of(name) for name in self.stewards)
         if "refused an order without authority" in text:
             return ["order_refused"]
