--- a/tests/integration/base.py
+++ b/tests/integration/base.py
@@ -1,4 +1,4 @@
-"""What the tests with a whole deployment share."""
+"""Base class of the tests with a whole deployment."""
 
 import threading
 import unittest
@@ -9,10 +9,15 @@
 
 
 class DeploymentCase(unittest.TestCase):
-    """Brings up entries and stewards over data centres a, b and c."""
+    """Starts entries and stewards in data centres a, b and c."""
 
     def bring_up(self, entries=3, stewards=3, prepare=None, **tables):
-        """Start everything, publish, and wait until all know each other."""
+        """Start and publish a deployment; return it when members are known.
+
+        :param prepare: sets up the endpoints instead of the default three
+            engines and two services.
+        :param tables: settings by the name of an instance, with underscores.
+        """
         dep = bringup.Deployment()
         self.addCleanup(dep.close)
         self.dep = dep
@@ -42,7 +47,7 @@
         return dep
 
     def wait_acquainted(self, names):
-        """Wait until every program knows all others of its own kind."""
+        """Wait until each instance sees all others of its kind alive."""
 
         def knows(name):
             rows = self.dep.status(name)["members"]
@@ -55,14 +60,14 @@
         def all_known():
             return all(knows(name) for name in names)
 
-        bringup.wait_until(all_known, what="acquaintance")
+        bringup.wait_until(all_known, what="the membership of all instances")
 
     def url(self, number=1):
-        """Return where entry ``number`` takes callers."""
+        """Return the URL of entry ``number`` for callers."""
         return self.dep.callers(f"entry-{number}")
 
-    def fresh_url(self, number):
-        """Return an address as a caller finds it, by asking the system."""
+    def listed_url(self, number):
+        """Return the URL of an entry as listed by ``/v1/addresses``."""
         for name in self.entries:
             try:
                 url = self.dep.callers(name) + "/v1/addresses"
@@ -71,7 +76,7 @@
                 continue
             if rows:
                 return f"http://{rows[number % len(rows)]['address']}"
-        raise AssertionError("no entry says where to connect")
+        raise AssertionError("no entry returned an address for callers")
 
     def holder(self, scope):
         """Return the name of the steward that holds ``scope``."""
@@ -85,10 +90,10 @@
 
 
 class Background:
-    """Runs a function in threads and gathers what they return or raise."""
+    """Runs a function in threads; collects results and exceptions."""
 
     def __init__(self, function, arguments):
-        """Start a thread for each tuple of arguments."""
+        """Start one thread per tuple of arguments."""
         self.results = []
         self.errors = []
         self._threads = [
@@ -99,7 +104,10 @@
             thread.start()
 
     def join(self, seconds=60):
-        """Wait for all threads and return their results."""
+        """Wait for all threads; return pairs of arguments and result.
+
+        :raises TimeoutError: a thread did not end within ``seconds``.
+        """
         for thread in self._threads:
             thread.join(seconds)
         if any(thread.is_alive() for thread in self._threads):
--- a/tests/integration/test_signals.py
+++ b/tests/integration/test_signals.py
@@ -1,4 +1,4 @@
-"""Signals in any order: before listening, serving, draining, at the end."""
+"""Signals in any order, at start, while serving and during the drain."""
 
 import errno
 import os
@@ -14,11 +14,16 @@
 from tests.integration import callers
 from tests.integration import gateway_base
 
-OTHERS = (signal.SIGUSR1, signal.SIGUSR2, signal.SIGALRM, signal.SIGPROF)
+OTHER_SIGNALS = (
+    signal.SIGUSR1,
+    signal.SIGUSR2,
+    signal.SIGALRM,
+    signal.SIGPROF,
+)
 
 
-def answer_after(seconds):
-    """Return a script that answers after so many seconds."""
+def delayed_answer(seconds):
+    """Return an endpoint script that answers after ``seconds``."""
 
     def script(_endpoint, request):
         yield seconds
@@ -27,11 +32,14 @@
     return script
 
 
-class StillStarting:
-    """Holds a process of ``dep`` in the reading of its settings file."""
+class BlockedStart:
+    """Holds a process at its start, while it reads its settings file.
+
+    The file is replaced by a FIFO, whose reader blocks until text is written.
+    """
 
     def __init__(self, dep, name):
-        """Start ``name`` anew and wait until it reads its settings."""
+        """Restart ``name`` and wait until it opens its settings file."""
         self._dep = dep
         self._name = name
         dep.kill(name)
@@ -50,43 +58,43 @@
                 raise
             return None
 
-    def go_on(self):
-        """Let the process read its settings, from an ordinary file later."""
+    def unblock(self):
+        """Let the process continue; restore the ordinary settings file."""
         self._path.unlink()
         self._path.write_bytes(self._text)
         os.write(self._pipe, self._text)
         os.close(self._pipe)
 
     def send(self, *numbers):
-        """Send signals, one after the other."""
+        """Send signals one after another."""
         for number in numbers:
             self._dep.process_by_name[self._name].send_signal(number)
             time.sleep(0.02)
 
 
-class GatewaySignals(gateway_base.GatewayCase):
-    """A gateway."""
+class GatewaySignalsTest(gateway_base.GatewayCase):
+    """A signal ends a gateway early, cuts a call or is ignored."""
 
     def setUp(self):
-        """Publish a route."""
+        """Publish a route of unsafe calls."""
         super().setUp()
         self.publish(gateway_base.route("book", "app", "unsafe"))
 
     def send(self, *numbers):
-        """Send signals to the gateway, one after the other."""
+        """Send signals to the gateway one after another."""
         for number in numbers:
             self.dep.process_by_name["gateway-1"].send_signal(number)
             time.sleep(0.05)
 
     def drain(self):
-        """Send SIGTERM and wait until the gateway drains."""
+        """Send SIGTERM and wait until the gateway is no longer ready."""
         self.terminate()
         bringup.wait_until(
             lambda: not self.is_ready("gateway-1"), what="the drain"
         )
 
     def settings_path(self):
-        """Return the path of the gateway's settings."""
+        """Return the path of the gateway's settings file."""
         return self.dep.folder / "gateway-1.toml"
 
     def wait_line(self, text):
@@ -96,18 +104,18 @@
         )
 
     def test_signals_during_a_drain_cut_no_open_call(self):
-        self.endpoint("one", answer_after(1.2))
+        self.endpoint("one", delayed_answer(1.2))
         front = self.gateway()
-        asked = base.Background(self.ask, [(front, "/book/x", "a1")])
+        call = base.Background(self.ask, [(front, "/book/x", "a1")])
         time.sleep(0.3)
         self.drain()
-        self.send(signal.SIGHUP, signal.SIGTERM, *OTHERS, signal.SIGHUP)
-        rows = asked.join()
-        self.assertEqual(asked.errors, [])
+        self.send(signal.SIGHUP, signal.SIGTERM, *OTHER_SIGNALS, signal.SIGHUP)
+        rows = call.join()
+        self.assertEqual(call.errors, [])
         self.assertEqual(rows[0][1].content, b"done")
         self.assertEqual(self.dep.wait_end("gateway-1", 5), 0)
 
-    def test_signals_until_the_end_do_not_change_the_exit_code(self):
+    def test_signals_until_the_exit_do_not_change_its_code(self):
         self.gateway()
         self.drain()
         process = self.dep.process_by_name["gateway-1"]
@@ -118,31 +126,33 @@
             time.sleep(0.002)
         self.assertEqual(process.poll(), 0)
 
-    def test_signals_before_listening_do_not_kill(self):
+    def test_signals_during_start_do_not_kill(self):
         front = self.gateway()
-        starting = StillStarting(self.dep, "gateway-1")
-        starting.send(signal.SIGHUP, *OTHERS, signal.SIGTERM, signal.SIGHUP)
-        starting.go_on()
+        starting = BlockedStart(self.dep, "gateway-1")
+        starting.send(
+            signal.SIGHUP, *OTHER_SIGNALS, signal.SIGTERM, signal.SIGHUP
+        )
+        starting.unblock()
         self.assertEqual(self.dep.wait_end("gateway-1", 5), 0)
         with self.assertRaises(httpx.ConnectError):
             self.ask(front, "/book/x")
 
-    def test_hang_up_before_listening_does_not_keep_from_serving(self):
+    def test_sighup_during_start_does_not_prevent_serving(self):
         self.gateway()
-        starting = StillStarting(self.dep, "gateway-1")
-        starting.send(signal.SIGHUP, *OTHERS)
-        starting.go_on()
+        starting = BlockedStart(self.dep, "gateway-1")
+        starting.send(signal.SIGHUP, *OTHER_SIGNALS)
+        starting.unblock()
         bringup.wait_until(lambda: self.is_ready("gateway-1"), what="service")
 
     def test_other_signals_do_not_end_a_serving_gateway(self):
-        self.endpoint("one", answer_after(0.1))
+        self.endpoint("one", delayed_answer(0.1))
         front = self.gateway()
-        self.send(*OTHERS)
+        self.send(*OTHER_SIGNALS)
         self.assertEqual(self.ask(front, "/book/x").status_code, 200)
         self.wait_line("SIGUSR1")
         self.wait_line("SIGPROF")
 
-    def test_hang_up_tells_whether_the_settings_file_changed(self):
+    def test_sighup_logs_whether_the_settings_file_changed(self):
         self.gateway()
         self.send(signal.SIGHUP)
         self.wait_line("settings file unchanged")
@@ -152,26 +162,26 @@
         self.send(signal.SIGHUP)
         self.wait_line("settings file changed, in force at the next start")
 
-    def test_hang_up_with_an_invalid_file_keeps_the_settings(self):
-        self.endpoint("one", answer_after(0.1))
+    def test_sighup_with_an_invalid_file_keeps_the_settings(self):
+        self.endpoint("one", delayed_answer(0.1))
         front = self.gateway()
         path = self.settings_path()
         text = path.read_text()
-        for broken, told in (
+        for broken, expected in (
             (text.replace('"zone" = "a"', '"zone" = 7'), "zone: found 7"),
             (text.replace("= 3\n", "= inf\n"), "bounds.grace_s: found inf"),
             ("a = " + "[" * 20_000, "not TOML"),
             ("a = " + "9" * 5_000, "not TOML"),
             ("\x00", "not TOML"),
         ):
-            with self.subTest(told):
+            with self.subTest(expected):
                 path.write_text(broken)
                 before = len(self.dep.log_of("gateway-1"))
                 self.send(signal.SIGHUP)
                 bringup.wait_until(
-                    lambda: told in self.dep.log_of("gateway-1")[before:],
+                    lambda: expected in self.dep.log_of("gateway-1")[before:],
                     5,
-                    told,
+                    expected,
                 )
         path.unlink()
         self.send(signal.SIGHUP)
@@ -179,46 +189,46 @@
         self.assertIn(str(path), self.dep.log_of("gateway-1"))
         self.assertEqual(self.ask(front, "/book/x").status_code, 200)
 
-    def test_a_second_interrupt_ends_at_once(self):
-        self.endpoint("one", answer_after(1.2))
+    def test_second_interrupt_ends_at_once(self):
+        self.endpoint("one", delayed_answer(1.2))
         front = self.gateway()
-        asked = base.Background(self.ask, [(front, "/book/x", "a1")])
+        call = base.Background(self.ask, [(front, "/book/x", "a1")])
         time.sleep(0.3)
         self.send(signal.SIGINT)
         self.send(signal.SIGINT)
         self.assertEqual(self.dep.wait_end("gateway-1", 1), 3)
         self.wait_line("SIGINT")
         self.assertNotIn("Traceback", self.dep.log_of("gateway-1"))
-        asked.join()
+        call.join()
 
-    def test_an_address_in_use_is_named_without_a_traceback(self):
+    def test_address_in_use_is_logged_without_a_traceback(self):
         self.gateway()
-        taken = self.listen_by_name["gateway-1"]
+        used_address = self.listen_by_name["gateway-1"]
         for key in ("front", "ready_addr", "directory"):
             with self.subTest(key), socket.socket() as other:
                 self.dep.kill("gateway-1")
-                host, _, port = taken[key].rpartition(":")
+                host, _, port = used_address[key].rpartition(":")
                 other.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
                 other.bind((host, int(port)))
                 other.listen()
                 before = len(self.dep.log_of("gateway-1"))
                 self.dep.start("gateway-1")
                 self.assertEqual(self.dep.wait_end("gateway-1", 10), 2)
-                told = self.dep.log_of("gateway-1")[before:]
-                self.assertIn(f"cannot listen on {taken[key]}", told)
-                self.assertNotIn("Traceback", told)
+                logged = self.dep.log_of("gateway-1")[before:]
+                self.assertIn(f"cannot listen on {used_address[key]}", logged)
+                self.assertNotIn("Traceback", logged)
 
-    def test_a_peer_port_in_use_is_named_without_a_traceback(self):
-        taken = ("127.0.0.1", self._peer_port())
+    def test_peer_port_in_use_is_logged_without_a_traceback(self):
+        used_address = ("127.0.0.1", self._peer_port())
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as other:
-            other.bind(taken)
+            other.bind(used_address)
             self.start_without_waiting()
             self.assertEqual(self.dep.wait_end("gateway-1", 10), 2)
-        told = self.dep.log_of("gateway-1")
-        self.assertIn("cannot listen on %s:%d" % taken, told)
-        self.assertNotIn("Traceback", told)
+        logged = self.dep.log_of("gateway-1")
+        self.assertIn("cannot listen on %s:%d" % used_address, logged)
+        self.assertNotIn("Traceback", logged)
 
-    def test_a_gateway_whose_store_is_away_stops_when_told(self):
+    def test_gateway_with_unavailable_store_stops_on_sigterm(self):
         for mode in ("busy", "silent"):
             with self.subTest(mode):
                 self.set_store_mode(mode)
@@ -230,49 +240,49 @@
                 self.assertEqual(self.dep.wait_end("gateway-1", 5), 0)
 
 
-class NodeSignals(base.DeploymentCase):
-    """An entry and a steward."""
+class NodeSignalsTest(base.DeploymentCase):
+    """A signal ends an entry or a steward early, or cuts a stream."""
 
     def send(self, name, *numbers):
-        """Send signals to a process, one after the other."""
+        """Send signals to a process one after another."""
         for number in numbers:
             self.dep.process_by_name[name].send_signal(number)
             time.sleep(0.05)
 
-    def test_signals_while_serving_and_draining_end_no_process(self):
+    def test_signals_while_serving_and_draining_end_no_process_early(self):
         self.bring_up(2, 2, entry_2={"limits": {"keep_addresses_ms": 1_000}})
         for name in ("entry-2", "steward-2"):
-            self.send(name, signal.SIGHUP, *OTHERS)
+            self.send(name, signal.SIGHUP, *OTHER_SIGNALS)
             self.assertTrue(self.dep.status(name)["ready"])
-        asked = base.Background(
+        call = base.Background(
             callers.stream, [(self.url(2), "long answer", 60)]
         )
         time.sleep(0.3)
         for name in ("entry-2", "steward-2"):
             self.send(name, signal.SIGTERM, signal.SIGHUP)
-            self.send(name, signal.SIGTERM, *OTHERS, signal.SIGHUP)
-        rows = asked.join()
-        self.assertEqual(asked.errors, [])
+            self.send(name, signal.SIGTERM, *OTHER_SIGNALS, signal.SIGHUP)
+        rows = call.join()
+        self.assertEqual(call.errors, [])
         self.assertEqual(
             callers.expected("long answer", 60), callers.texts(rows[0][1])
         )
         self.assertEqual(0, self.dep.wait_end("entry-2"))
         self.assertEqual(0, self.dep.wait_end("steward-2"))
 
-    def test_signals_before_listening_do_not_kill(self):
+    def test_signals_during_start_do_not_kill(self):
         dep = bringup.Deployment()
         self.addCleanup(dep.close)
         dep.platform()
         for program in ("entry", "steward"):
             with self.subTest(program):
                 dep.instance(program, "a", program)
-                starting = StillStarting(dep, program)
-                starting.send(signal.SIGHUP, *OTHERS)
+                starting = BlockedStart(dep, program)
+                starting.send(signal.SIGHUP, *OTHER_SIGNALS)
                 starting.send(signal.SIGTERM, signal.SIGHUP)
-                starting.go_on()
+                starting.unblock()
                 self.assertEqual(dep.wait_end(program, 5), 0)
 
-    def test_a_node_whose_log_is_away_stops_when_told(self):
+    def test_node_with_unavailable_log_stops_on_sigterm(self):
         dep = bringup.Deployment()
         self.addCleanup(dep.close)
         dep.platform()
