--- a/clementinewall/operator/__init__.py
+++ b/clementinewall/operator/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' command line."""
+"""The command line for operators."""
--- a/clementinewall/operator/main.py
+++ b/clementinewall/operator/main.py
@@ -1,4 +1,4 @@
-"""Publish configurations, watch them come into force, ask what happens.
+"""Publish configurations, wait until they are active, query the system.
 
 Usage:
   clementinewall [options] check FILE
@@ -19,18 +19,18 @@
   --settings=FILE   The operator's settings [default: operator.toml].
   --json            Print JSON for scripts.
   --timeout-ms=N    How long to wait [default: 6000].
-  --anew            Begin again after the log lost every record.
+  --anew            Write a first state after the log lost every record.
 
 Examples:
   clementinewall publish fleet.toml
-  clementinewall wait 412 && echo "in force everywhere"
+  clementinewall wait 412 && echo "active everywhere"
   clementinewall drain engine-3
   clementinewall explain engine-3
   clementinewall story 9c41d07be2a35f68 gateway-*.log
 
 Exit codes:
-  0 done, 1 failed, 2 bad input, 3 lost a race, 4 not in force in time,
-  5 unknown: the change may have been made, look with 'show'.
+  0 done, 1 failed, 2 bad input, 3 conflict with another change, 4 not
+  active in time, 5 unknown: the change may have been made, see 'show'.
 """
 
 import contextlib
@@ -51,7 +51,7 @@
 EXIT_FAILED = 1
 EXIT_BAD_INPUT = 2
 EXIT_CONFLICT = 3
-EXIT_NOT_IN_FORCE = 4
+EXIT_NOT_ACTIVE = 4
 EXIT_UNKNOWN = 5
 
 _EXIT_BY_TYPE = {
@@ -62,54 +62,56 @@
 }
 
 
-async def _check(options, _session):
+async def _check(options, _connection):
     by_key = configuration.flatten(settings.read_toml(options["FILE"]))
     return {"good": True, "keys": sorted(by_key)}, 0
 
 
-async def _publish(options, live):
+async def _publish(options, connection):
     document = settings.read_toml(options["FILE"])
     configuration.flatten(document)
     if options["--anew"]:
-        offset = await live.publish_initial(document)
+        offset = await connection.publish_initial(document)
         return {"version": offset, "changed": "all"}, 0
-    outcome, differences = await live.publish(document)
+    outcome, differences = await connection.publish(document)
     if outcome is None:
         return {"version": None, "changed": []}, 0
     changed = [difference.key for difference in differences]
     return {"version": outcome.offset, "changed": changed}, 0
 
 
-async def _diff(options, live):
-    state = await live.read_state()
+async def _diff(options, connection):
+    state = await connection.read_state()
     differences = session.compare(state, settings.read_toml(options["FILE"]))
     return [difference._asdict() for difference in differences], 0
 
 
-async def _show(options, live):
-    state = await live.read_state()
+async def _show(options, connection):
+    state = await connection.read_state()
     if not state.known:
-        raise errors.LogUnavailable("no state is known; see 'publish --anew'")
+        raise errors.LogUnavailable(
+            "neither the log nor an instance has a state; see 'publish --anew'"
+        )
     key = options["KEY"]
     if key is None:
         return {"version": state.version, "keys": state.data_by_key}, 0
     if key not in state.data_by_key:
-        raise errors.BadRequest(f"no key {key!r} is in force")
+        raise errors.BadRequest(f"the active configuration has no key {key!r}")
     offset = state.offset_by_key[key]
     return {"version": offset, "keys": {key: state.data_by_key[key]}}, 0
 
 
-async def _wait(options, live):
+async def _wait(options, connection):
     version = _number(options["VERSION"], "VERSION")
     timeout = _number(options["--timeout-ms"], "--timeout-ms")
-    behind = await live.wait_active(version, timeout)
-    code = EXIT_NOT_IN_FORCE if behind else 0
+    behind = await connection.wait_active(version, timeout)
+    code = EXIT_NOT_ACTIVE if behind else 0
     return {"version": version, "behind": behind}, code
 
 
-async def _status(_options, live):
-    status_by_id = await live.statuses()
-    state = await live.read_state()
+async def _status(_options, connection):
+    status_by_id = await connection.statuses()
+    state = await connection.read_state()
     rows = {
         name: {
             "kind": row.kind,
@@ -137,24 +139,24 @@
     return answer, 0 if instances else EXIT_FAILED
 
 
-async def _edit(options, live, **members):
-    outcome = await live.edit_endpoint(options["ENDPOINT"], **members)
+async def _edit(options, connection, **members):
+    outcome = await connection.edit_endpoint(options["ENDPOINT"], **members)
     return {"version": outcome.offset, "changed": [options["ENDPOINT"]]}, 0
 
 
-async def _replace(options, live):
+async def _replace(options, connection):
     address = options["ADDRESS"]
     if not settings.is_address(address):
         raise errors.BadRequest(f"ADDRESS: found {address!r}, give IP:port")
-    return await _edit(options, live, address=address, state="serving")
+    return await _edit(options, connection, address=address, state="serving")
 
 
-async def _explain(options, live):
-    return await live.explain(options["ABOUT"]), 0
+async def _explain(options, connection):
+    return await connection.explain(options["ABOUT"]), 0
 
 
-async def _request_trace(options, _live):
-    """Tell a request from log files; nothing is asked of the system."""
+async def _request_trace(options, _connection):
+    """Print the trace of a request from log files, without any query."""
     with contextlib.ExitStack() as stack:
         try:
             files = [
@@ -165,12 +167,14 @@
             raise errors.SettingsError(
                 f"{exc.filename}: {exc.strerror}"
             ) from exc
-        found, decider = request_trace.collect(
+        found, deciding_line = request_trace.collect(
             request_trace.read(files), options["REQUEST"]
         )
     if options["--json"]:
         return [line._asdict() for line in found], 0 if found else EXIT_FAILED
-    return request_trace.render(found, decider), 0 if found else EXIT_FAILED
+    return request_trace.render(
+        found, deciding_line
+    ), 0 if found else EXIT_FAILED
 
 
 _COMMANDS = {
@@ -187,8 +191,8 @@
     "explain": _explain,
     "story": _request_trace,
 }
-# These work on files alone.
-_OFFLINE = ("check", "story")
+# Commands that read only files and need no settings.
+_OFFLINE_COMMANDS = ("check", "story")
 
 
 def main():
@@ -200,13 +204,13 @@
 async def _run(options):
     name = next(name for name in _COMMANDS if options[name])
     try:
-        live = None
-        if name not in _OFFLINE:
+        connection = None
+        if name not in _OFFLINE_COMMANDS:
             checked = settings.load(
                 options["--settings"], settings.OperatorSettings
             )
-            live = session.Session(checked)
-        answer, code = await _COMMANDS[name](options, live)
+            connection = session.Session(checked)
+        answer, code = await _COMMANDS[name](options, connection)
     except errors.ClementinewallError as exc:
         sys.stderr.write(f"{exc.code}: {exc.message}\n")
         return _EXIT_BY_TYPE.get(type(exc), EXIT_FAILED)
--- a/clementinewall/operator/request_trace.py
+++ b/clementinewall/operator/request_trace.py
@@ -1,16 +1,16 @@
-"""The story of one request, gathered from the logs of all processes.
+"""The trace of one request, collected from the logs of all processes.
 
-Logs are JSON lines, as each process writes them to its standard output; what
-stands before the brace, such as a collector's stamp, is passed over.  Lines
-of other forms are passed over too.
+Logs are JSON lines, as each process writes them to its standard output; text
+before the opening brace, such as a log collector's timestamp, is skipped.
+Lines in any other format are skipped as well.
 """
 
 import json
 import typing
 
-_CUT = "gateway: cut at the end of the process"
-# The line that decided what became of a request is the last of these.
-_DECIDING = (
+_CUT_MESSAGE = "gateway: cut at the end of the process"
+# Messages that can give the outcome of a request or its cause.
+_DECIDING_MESSAGES = (
     "stream: refused",
     "plain: no budget",
     "stream: no budget",
@@ -19,16 +19,17 @@
     "gateway: caller gone",
     "gateway: failed",
     "gateway: answered",
-    _CUT,
+    _CUT_MESSAGE,
 )
-_ENDS = _DECIDING[-4:]
-_STARTED = "gateway: started"
-# What changed meanwhile at an endpoint that the request was sent to.
-_AROUND_MS = 3_000
+_FINAL_MESSAGES = _DECIDING_MESSAGES[-4:]
+_START_MESSAGE = "gateway: started"
+# Changes at an endpoint of the request are shown if they lie at most this
+# long before its first line or after its last.
+_CONTEXT_MS = 3_000
 
 
 class Line(typing.NamedTuple):
-    """One log line: when in seconds, where, what, and its fields."""
+    """One log line: ``time`` is in seconds since the epoch."""
 
     time: float
     instance: str
@@ -37,7 +38,7 @@
 
 
 def read(files):
-    """Yield the lines of open files that are log lines."""
+    """Yield the log lines of open files as ``Line``."""
     for file in files:
         for text in file:
             start = text.find("{")
@@ -52,74 +53,86 @@
                     data,
                 )
             except (ValueError, KeyError, TypeError, AttributeError):
-                # Other programs may write to the same stream; what isn't a
-                # log line says nothing about a request.
+                # Other programs may write to the same stream.
                 continue
 
 
 def collect(lines, request):
-    """Return the lines about a request, in order, and the deciding one.
+    """Return the lines about a request in order of time, and the deciding one.
 
-    Beside its own lines these are the changes that the gateways noted of
-    the endpoints it was sent to, shortly before and meanwhile.
+    Besides the lines of the request itself, these are the changes that its
+    gateways logged of the endpoints it was sent to, shortly before, during
+    and shortly after it.
     """
     lines = list(lines)
-    own = [line for line in lines if line.fields.get("request") == request]
-    if not own:
+    request_lines = [
+        line for line in lines if line.fields.get("request") == request
+    ]
+    if not request_lines:
         return [], None
-    own.sort(key=lambda line: line.time)
-    start = own[0].time - _AROUND_MS / 1_000
-    end = own[-1].time + _AROUND_MS / 1_000
-    endpoints = _endpoints(own)
-    where = {line.instance for line in own}
-    around = [
+    request_lines.sort(key=lambda line: line.time)
+    start = request_lines[0].time - _CONTEXT_MS / 1_000
+    end = request_lines[-1].time + _CONTEXT_MS / 1_000
+    endpoints = _endpoint_ids(request_lines)
+    where = {line.instance for line in request_lines}
+    context_lines = [
         line
         for line in lines
         if "request" not in line.fields
         and line.instance in where
         and start <= line.time <= end
-        and _endpoints([line]) & endpoints
+        and _endpoint_ids([line]) & endpoints
     ]
-    decider = _decider(own)
-    if own[-1].message not in _ENDS:
-        decider = _restart(lines, own[-1]) or decider
-        around += [decider] if decider and decider not in own else []
-    return sorted(own + around, key=lambda line: line.time), decider
+    deciding_line = _find_deciding_line(request_lines)
+    if request_lines[-1].message not in _FINAL_MESSAGES:
+        deciding_line = _next_start(lines, request_lines[-1]) or deciding_line
+        context_lines += (
+            [deciding_line]
+            if deciding_line and deciding_line not in request_lines
+            else []
+        )
+    return sorted(
+        request_lines + context_lines, key=lambda line: line.time
+    ), deciding_line
 
 
-def _restart(lines, last):
-    """Return the next start of the process in which a request stopped.
+def _next_start(lines, last):
+    """Return the next start of the process in which a request broke off.
 
-    A process that was killed or lost power writes nothing of it; its next
-    start is the only sign.
+    A process that was killed or lost power logs nothing about it; its next
+    start is the only evidence.
     """
     later = [
         line
         for line in lines
-        if line.message == _STARTED
+        if line.message == _START_MESSAGE
         and line.instance == last.instance
         and line.time > last.time
     ]
     return min(later, key=lambda line: line.time, default=None)
 
 
-def _decider(own):
-    """Return the line that says why, before the one that says how it ended."""
-    deciding = [line for line in own if line.message in _DECIDING]
+def _find_deciding_line(request_lines):
+    """Return the line with the cause, or else the one with the outcome."""
+    deciding = [
+        line for line in request_lines if line.message in _DECIDING_MESSAGES
+    ]
     causes = [line for line in deciding if "why" in line.fields]
-    if own[-1].message == _CUT:
-        return own[-1]
-    if own[-1].message == "gateway: answered":
-        # The failure of an endpoint that no other was asked after is handed
-        # on as it came.
-        handed_on = own[-2:-1] and own[-2].message.endswith("attempt failed")
-        return own[-2] if handed_on else own[-1]
+    if request_lines[-1].message == _CUT_MESSAGE:
+        return request_lines[-1]
+    if request_lines[-1].message == "gateway: answered":
+        # The answer of a failed attempt is passed on to the caller if no
+        # further attempt follows.
+        passed_on = request_lines[-2:-1] and request_lines[
+            -2
+        ].message.endswith("attempt failed")
+        return request_lines[-2] if passed_on else request_lines[-1]
     if causes:
         return causes[0] if len(causes) == 1 else causes[-2]
     return deciding[-1] if deciding else None
 
 
-def _endpoints(lines):
+def _endpoint_ids(lines):
     names = ("endpoint", "engine", "prefill", "decode")
     return {
         line.fields[name]
@@ -129,14 +142,14 @@
     }
 
 
-def render(trace, decider):
-    """Return a trace as text for a person."""
+def render(trace, deciding_line):
+    """Return a trace as text; ``>`` marks the deciding line."""
     if not trace:
-        return "no line about this request: it reached none of these processes"
+        return "no line about this request in these logs"
     first = trace[0].time
     rows = []
     for line in trace:
-        mark = ">" if line is decider else " "
+        mark = ">" if line is deciding_line else " "
         fields = " ".join(
             f"{key}={value}"
             for key, value in line.fields.items()
--- a/clementinewall/operator/tables.py
+++ b/clementinewall/operator/tables.py
@@ -1,10 +1,10 @@
-"""Rendering answers as tables for people."""
+"""Rendering of answers as text tables."""
 
-CELL_LIMIT = 60
+MAX_CELL_CHARS = 60
 
 
 def render(answer):
-    """Return the answer as text in aligned columns, or as it is if text."""
+    """Return the answer in aligned columns; a string is returned as it is."""
     if isinstance(answer, str):
         return answer
     if isinstance(answer, list):
@@ -41,6 +41,6 @@
 
 def _cell(value):
     text = str(value)
-    if len(text) > CELL_LIMIT:
-        return text[: CELL_LIMIT - 3] + "..."
+    if len(text) > MAX_CELL_CHARS:
+        return text[: MAX_CELL_CHARS - 3] + "..."
     return text
--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -2,8 +2,8 @@
 
 import hypothesis
 
-# The same examples in every run: CI must reach the same verdict each time.
-# ``make proofs`` explores at random.
+# The same examples in every run, so that CI is deterministic.  ``make proofs``
+# uses random examples.
 hypothesis.settings.register_profile(
     "same", derandomize=True, deadline=None, database=None
 )
--- a/tests/operator/test_main.py
+++ b/tests/operator/test_main.py
@@ -1,4 +1,4 @@
-"""The command line of operators reads what its help shows."""
+"""Parsing of the operators' command line."""
 
 import unittest
 
@@ -23,11 +23,11 @@
 
 
 class Usage(unittest.TestCase):
-    """Every command with and without the common options."""
+    """Every command, with and without the common options."""
 
     def test_each_command_takes_the_common_options(self):
-        # An option named twice in the help makes every command that uses it
-        # end with the help text instead of its answer.
+        # Guards against an option that is listed twice in the usage text:
+        # each command given that option would print the usage and exit.
         self.assertEqual(set(ARGUMENTS_BY_COMMAND), set(main._COMMANDS))
         for command, arguments in ARGUMENTS_BY_COMMAND.items():
             for options in ([], ["--json"], ["--settings=x", "--json"]):
@@ -37,5 +37,6 @@
                 self.assertTrue(found[command])
                 self.assertEqual(found["--json"], "--json" in options)
                 if "f" in arguments:
-                    # A name that repeats in one command is a list in all.
+                    # docopt makes an argument that one command repeats a
+                    # list in all commands.
                     self.assertEqual(found["FILE"], "f")
--- a/tests/operator/test_request_trace.py
+++ b/tests/operator/test_request_trace.py
@@ -1,4 +1,4 @@
-"""The story of a request from the logs of several processes."""
+"""Traces of a request from the logs of several processes."""
 
 import io
 import json
@@ -18,8 +18,8 @@
     return json.dumps({**row, "message": message, **fields}) + "\n"
 
 
-class Story(unittest.TestCase):
-    """``tell`` over logs that are mixed, torn and out of order."""
+class RequestTrace(unittest.TestCase):
+    """``collect`` over logs that are mixed, truncated and out of order."""
 
     def setUp(self):
         """Write the logs of two gateways."""
@@ -37,13 +37,13 @@
         )
         self.two = line(10.0, "g2", "gateway: accepted", request="r2")
 
-    def tell(self, request):
-        """Tell a request from both logs, given in the wrong order."""
+    def collect(self, request):
+        """Collect a request from both logs, given in the wrong order."""
         files = [io.StringIO(self.two), io.StringIO(self.one)]
         return request_trace.collect(request_trace.read(files), request)
 
-    def test_own_lines_and_changes_of_its_endpoint_in_order(self):
-        found, decider = self.tell("r1")
+    def test_request_lines_and_endpoint_changes_are_in_order(self):
+        found, deciding_line = self.collect("r1")
         self.assertEqual(
             [row.message.split(": ")[1] for row in found],
             [
@@ -54,21 +54,21 @@
                 "failed",
             ],
         )
-        self.assertEqual(decider.message, "stream: attempt failed")
+        self.assertEqual(deciding_line.message, "stream: attempt failed")
         self.assertIn(
-            ">      300 ms  g1", request_trace.render(found, decider)
+            ">      300 ms  g1", request_trace.render(found, deciding_line)
         )
 
-    def tell_lines(self, *lines):
-        """Tell the request ``r1`` from lines of one gateway."""
+    def collect_lines(self, *lines):
+        """Collect the request ``r1`` from lines of one gateway."""
         return request_trace.collect(
             request_trace.read([io.StringIO("".join(lines))]), "r1"
         )
 
-    def test_a_failure_that_was_handed_on_is_the_cause(self):
-        # Two endpoints in a row answer 500, and the second 500 is what the
-        # caller gets.  "Answered" alone would tell nothing.
-        _, decider = self.tell_lines(
+    def test_a_failed_attempt_passed_on_to_the_caller_is_the_cause(self):
+        # Two endpoints answer 500 and the caller gets the second 500.  With
+        # "answered" as the deciding line, the failure would not be seen.
+        _, deciding_line = self.collect_lines(
             line(1.0, "g1", "gateway: accepted", request="r1"),
             line(1.1, "g1", "plain: sent", request="r1", endpoint="e1"),
             line(1.2, "g1", "plain: attempt failed", request="r1", why="500"),
@@ -76,32 +76,34 @@
             line(1.4, "g1", "plain: attempt failed", request="r1", why="500"),
             line(1.5, "g1", "gateway: answered", request="r1"),
         )
-        self.assertEqual(decider.time, 1.4)
+        self.assertEqual(deciding_line.time, 1.4)
 
-    def test_a_second_attempt_that_worked_is_no_failure(self):
-        _, decider = self.tell_lines(
+    def test_a_successful_second_attempt_is_no_failure(self):
+        _, deciding_line = self.collect_lines(
             line(1.1, "g1", "plain: sent", request="r1", endpoint="e1"),
             line(1.2, "g1", "plain: attempt failed", request="r1", why="500"),
             line(1.3, "g1", "plain: sent", request="r1", endpoint="e2"),
             line(1.5, "g1", "gateway: answered", request="r1"),
         )
-        self.assertEqual(decider.message, "gateway: answered")
+        self.assertEqual(deciding_line.message, "gateway: answered")
 
-    def test_a_process_that_died_is_seen_by_its_next_start(self):
-        # A gateway loses power in the middle of a stream.  It writes no line
-        # about that; the story would end with the first event.
-        found, decider = self.tell_lines(
+    def test_a_killed_process_is_found_by_its_next_start(self):
+        # A gateway loses power during a stream and logs nothing about it, so
+        # that the trace would end with the first event and show no cause.
+        found, deciding_line = self.collect_lines(
             line(1.0, "g1", "gateway: accepted", request="r1"),
             line(1.1, "g1", "stream: first event", request="r1"),
             line(2.0, "g2", "gateway: started"),
             line(3.0, "g1", "gateway: started"),
             line(9.0, "g1", "gateway: started"),
         )
-        self.assertEqual((decider.instance, decider.time), ("g1", 3.0))
-        self.assertIs(found[-1], decider)
+        self.assertEqual(
+            (deciding_line.instance, deciding_line.time), ("g1", 3.0)
+        )
+        self.assertIs(found[-1], deciding_line)
 
     def test_a_cut_at_the_end_of_the_process_is_the_cause(self):
-        _, decider = self.tell_lines(
+        _, deciding_line = self.collect_lines(
             line(1.0, "g1", "gateway: accepted", request="r1"),
             line(
                 1.1, "g1", "stream: attempt failed", request="r1", why="reset"
@@ -114,13 +116,13 @@
             ),
         )
         self.assertEqual(
-            decider.message, "gateway: cut at the end of the process"
+            deciding_line.message, "gateway: cut at the end of the process"
         )
 
     def test_unknown_request(self):
-        found, decider = self.tell("r3")
-        self.assertEqual((found, decider), ([], None))
-        self.assertIn("no line", request_trace.render(found, decider))
+        found, deciding_line = self.collect("r3")
+        self.assertEqual((found, deciding_line), ([], None))
+        self.assertIn("no line", request_trace.render(found, deciding_line))
 
     def test_missing_file_is_named(self):
         options = {"LOG": ["/nowhere/x.log"], "REQUEST": "r", "--json": None}
@@ -140,9 +142,9 @@
         self.assertEqual(code, 0)
         self.assertIn("endpoint gone", text)
 
-    def test_the_command_prints_it(self):
-        # An engineer on call types the command from the operators' page.  It
-        # ended with a traceback while its parts passed their tests.
+    def test_the_command_prints_the_trace(self):
+        # Guards against a command that ends with a traceback while its
+        # functions pass their tests: runs it in a process of its own.
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder) / "g1.log"
             row = {
--- a/tests/run.py
+++ b/tests/run.py
@@ -1,4 +1,4 @@
-"""Run every test and reach one verdict.
+"""Run every test and report one result.
 
 Usage: ``python -m tests.run [PREFIX ...]`` runs the tests whose id begins
 with one of the prefixes, all by default.  Tests listed in KNOWN-RED.txt may
@@ -10,7 +10,7 @@
 import unittest
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
-KNOWN_RED_LIMIT = 3
+MAX_KNOWN_RED = 3
 KNOWN_RED_FIELDS = ("test", "cause", "command", "seed", "seen", "issue")
 
 
@@ -21,8 +21,8 @@
         return {}
     lines = path.read_text().splitlines()
     rows = [line for line in lines if line and not line.startswith("#")]
-    if len(rows) > KNOWN_RED_LIMIT:
-        raise SystemExit(f"KNOWN-RED.txt has more than {KNOWN_RED_LIMIT}")
+    if len(rows) > MAX_KNOWN_RED:
+        raise SystemExit(f"KNOWN-RED.txt has more than {MAX_KNOWN_RED}")
     for row in rows:
         if len(row.split(",")) != len(KNOWN_RED_FIELDS):
             raise SystemExit(
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -73,7 +73,7 @@
 
 
 class Pipe:
-    """Stands in for the inbox; signals are written by the test."""
+    """Replaces the inbox; signals are written by the test."""
 
     def __init__(self, *numbers):
         """Hold these signals already."""
@@ -118,12 +118,12 @@
         anyio.run(handle)
         return life
 
-    def test_signals_before_the_watch_count(self):
+    def test_signals_before_the_watch_are_handled(self):
         life = self.watched(self.make(signal.SIGHUP, signal.SIGTERM))
         self.assertIs(life.state, State.DRAINING)
         self.assertTrue(life.draining.is_set())
 
-    def test_further_signals_do_not_leave_twice(self):
+    def test_further_signals_do_not_drain_again(self):
         life = self.watched(self.make(signal.SIGTERM))
         for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGINT):
             self.pipe.send(number)
@@ -148,6 +148,6 @@
         self.assertEqual(life.settings, "settings")
         self.assertIs(life.state, State.STARTING)
 
-    def test_changed_settings_are_not_taken_over(self):
+    def test_changed_settings_are_not_applied(self):
         make = self.make(signal.SIGHUP, read=lambda: "other")
         self.assertEqual(self.watched(make).settings, "settings")
--- a/tests/test_log_writer.py
+++ b/tests/test_log_writer.py
@@ -1,4 +1,4 @@
-"""Log lines never make a request wait, and are not lost without a count."""
+"""Logging never blocks a request, and dropped lines are counted."""
 
 import os
 import time
@@ -18,8 +18,8 @@
         self.addCleanup(os.close, self.read_end)
 
     def test_lines_are_dropped_and_counted_without_blocking(self):
-        # The collector of logs hangs.  Were a line to wait for the pipe,
-        # each request would hang with it.
+        # The log collector hangs and the pipe is full.  A blocking write would
+        # then block every request that logs.
         line = b"x" * 199 + b"\n"
         start = time.monotonic()
         for _ in range(10_000):
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: the samples load, and each mistake is told with its place."""
+"""Settings: the samples load, and each mistake is reported by its key."""
 
 import pathlib
 import tempfile
@@ -59,9 +59,9 @@
 
 
 class MistakesTest(unittest.TestCase):
-    """What a person is told."""
+    """How mistakes are reported."""
 
-    def test_every_mistake_is_told_at_once(self):
+    def test_all_mistakes_are_reported_together(self):
         """File, key, what was found and what is allowed, for each."""
         data = {
             **GOOD,
--- a/tests/test_web.py
+++ b/tests/test_web.py
@@ -9,7 +9,7 @@
 
 
 class Serve(unittest.TestCase):
-    """The end of ``serve``."""
+    """How ``serve`` ends."""
 
     def test_cancelling_with_an_open_request_raises_no_other_error(self):
         address = bringup.address()
