--- a/tests/integration/test_entry_drain.py
+++ b/tests/integration/test_entry_drain.py
@@ -69,7 +69,7 @@
         self.assertEqual(503, answer.status_code, answer.text)
         body = answer.json()
         self.assertEqual("not_run", body["verdict"])
-        self.assertIn("leaving", body["detail"])
+        self.assertIn("draining", body["detail"])
         self.assertEqual("close", answer.headers["connection"])
 
     def test_requests_longer_than_the_rest_of_a_drain_are_refused(self):
--- a/tests/steward/test_leases.py
+++ b/tests/steward/test_leases.py
@@ -88,7 +88,7 @@
 
     def _next(self, name):
         self.serial += 1
-        self.table[name].sending(str(self.serial))
+        self.table[name].record_sent(str(self.serial))
         return str(self.serial)
 
 
