--- a/bench/losses.py
+++ b/bench/losses.py
@@ -21,13 +21,13 @@
 
 import docopt
 
-from clementinewall.operator import story
+from clementinewall.operator import request_trace
 
-# A first event that comes so much after the prediction is the fault of the
-# prediction.
+# A late first event counts as mispredicted if it came this much after the
+# predicted time.
 MISPREDICTED_MS = 100
 SERVED = "served in time"
-# What the report counts as not served in time.
+# Keys of the report that count requests not served in time.
 _LOST = ("late", "refused", "failed")
 
 
@@ -105,7 +105,7 @@
     """Yield the lines of a run's output with their second of the day."""
     with open(path) as file:
         for text in file:
-            for line in story.read([[text]]):
+            for line in request_trace.read([[text]]):
                 try:
                     yield float(text.split()[0]), line
                 except ValueError:
--- a/bench/slopes_membership.py
+++ b/bench/slopes_membership.py
@@ -1,4 +1,4 @@
-"""Slopes of membership: datagrams, the table of members, marks."""
+"""Slopes of membership: datagrams, the table of members, crash records."""
 
 from bench import slope
 from clementinewall import clock
@@ -50,7 +50,7 @@
 
 
 def gossip_cpu():
-    """Processor time to encode one message and take one in."""
+    """Processor time to encode one message and apply one."""
     points = []
     for count in (8, 16, 35, 70):
         table = _table(count)
@@ -60,7 +60,7 @@
             _message(table)
             for raw in raws:
                 for beat in CODEC.decode(raw).beats:
-                    table.merge_beat(beat)
+                    table.merge_heartbeat(beat)
 
         points.append((count, slope.cpu_us(work, 20)))
     return slope.Slope("gossip cpu", "us", "member", "in process", points)
@@ -78,11 +78,11 @@
 
 
 def crash_cpu():
-    """Time to check a request against the crash marks."""
+    """Time to check a request against the crash records."""
     points = []
     for count in (10, 50, 100, 200):
         now = clock.ManualClock()
-        table = crashes.Crashes(now.now)
+        table = crashes.CrashTable(now.now)
         for number in range(count):
             table.add(f"{number:024x}", "engine-1")
 
--- a/clementinewall/entry/calls.py
+++ b/clementinewall/entry/calls.py
@@ -1,9 +1,10 @@
-"""Calls to plain services, idempotent ones and bookings.
+"""Calls to plain services: idempotent calls and bookings.
 
-An idempotent call is simply tried until it is answered or given up.  A
-booking goes to its key's home entry, which announces it in the log before
-it dispatches, see ``clementinewall.records.bookings``.  Another entry may
-act as home at any time: the log lets only one of them dispatch.
+An idempotent call is retried until it is answered or its attempts are used
+up.  A booking is forwarded to the owner of its key, an entry that commits an
+intent to the log before it dispatches, see
+``clementinewall.records.bookings``.  Any other entry may act as the owner at
+any time: the log allows only one of them to dispatch.
 """
 
 import base64
@@ -26,22 +27,23 @@
 
 _log = logs.PartLog("call")
 
-ATTEMPTS = 3
-HOMES_TRIED = 3
-# An intent older than this is not dispatched any more by its own process:
-# after so long a pause the log may have forgotten the intent, and with it
-# the reason why nobody else runs the call.
-INTENT_FRESH_MS = 10_000
-# A home that is silent this long may be paused.  Going on elsewhere is safe
-# even if it is only slow, because the log lets one of the two dispatch.
-FORWARD_PATIENCE_MS = 1_500
-GONE_CHECK_MS = 500
-HOME_PATH = "/control/bookings"
+MAX_ATTEMPTS = 3
+MAX_OWNERS_TRIED = 3
+# A process doesn't dispatch its own intent once it is older than this: after
+# so long a pause the log may have dropped the intent, so that another process
+# may run the call.
+MAX_INTENT_AGE_MS = 10_000
+# An owner that doesn't answer for this long may be paused.  Trying another
+# is safe even if the owner is only slow, because the log allows only one of
+# the two to dispatch.
+FORWARD_TIMEOUT_MS = 1_500
+OWNER_CHECK_INTERVAL_MS = 500
+BOOKINGS_PATH = "/control/bookings"
 TICKET_BYTES = 12
 
 
 class Call(typing.NamedTuple):
-    """A call to a service, as it travels to its home entry."""
+    """A call to a service, as it is sent to the owner of its key."""
 
     request_id: str
     caller: str
@@ -57,7 +59,10 @@
 
 
 class Answer(typing.NamedTuple):
-    """The service's answer; ``kept`` if it was given to an earlier copy."""
+    """The service's answer.
+
+    ``kept`` tells that it is the recorded answer to an earlier copy.
+    """
 
     status: int
     body: str
@@ -66,10 +71,10 @@
 
 
 class Calls:
-    """Serves calls; one per entry."""
+    """Serves service calls; one per entry."""
 
     def __init__(self, node, loads, guard):
-        """Use the node's configuration, the loads and the crash guard."""
+        """Choose endpoints by ``loads`` and ``guard``."""
         self._node = node
         self._loads = loads
         self._guard = guard
@@ -78,25 +83,25 @@
         self._group = None
 
     async def run(self):
-        """Hold the tasks of the partitions in use."""
+        """Run the tasks of the partitions in use."""
         async with anyio.create_task_group() as group:
             self._group = group
             await anyio.sleep_forever()
 
     async def flush(self):
-        """Wait a while for the outcomes that are not committed yet."""
+        """Wait a limited time until pending outcomes are committed."""
         for part in self._partition_by_number.values():
             await part.flush()
 
     async def make_ticket(self, caller):
-        """Return a key that stays at most once however late it is used.
+        """Return a key that never runs twice, however late it is used.
 
         :raises LogUnavailable: the bookings cannot be read.
         """
         random_part = secrets.token_hex(TICKET_BYTES)
         number = bookings.partition_of(f"{caller}/{random_part}")
         part = self._partition(number)
-        await part.wait_ready(partition.READ_BACK_MS)
+        await part.wait_ready(partition.READ_BACK_TIMEOUT_MS)
         return bookings.make_ticket(number, part.table.next, random_part)
 
     async def run_idempotent(self, call):
@@ -104,80 +109,83 @@
         return await self._dispatch(call, idempotent=True)
 
     async def run_booking(self, call):
-        """Answer a call that may run at most once, by way of its home."""
-        end = self._node.clock.now() + call.deadline_ms
-        for home in self._homes(call.key):
-            left = end - self._node.clock.now()
-            if home.id == self._node.id or left <= 0:
+        """Answer a call that may run at most once, through its owner."""
+        deadline = self._node.clock.now() + call.deadline_ms
+        for owner in self._owners(call.key):
+            remaining_ms = deadline - self._node.clock.now()
+            if owner.id == self._node.id or remaining_ms <= 0:
                 break
             try:
-                return await self._forward(home, call, left)
+                return await self._forward(owner, call, remaining_ms)
             except errors.EndpointFailed as exc:
                 _log.warning(
-                    "a home entry did not answer",
+                    "owner of the key did not answer; trying the next entry",
                     request=call.request_id,
-                    home=home.id,
+                    home=owner.id,
                     error=exc.message,
                 )
-        # Whatever those homes did, their intents are in the log or will
-        # come too late: acting as home here cannot run the call twice.
-        left = max(1, end - self._node.clock.now())
-        return await self.run_as_home(call._replace(deadline_ms=left))
+        # Whatever those owners did, their intents are in the log or will be
+        # too late: acting as the owner here cannot run the call twice.
+        remaining_ms = max(1, deadline - self._node.clock.now())
+        return await self.run_as_owner(call._replace(deadline_ms=remaining_ms))
 
-    async def run_as_home(self, call):
-        """Announce, dispatch and conclude a booking at this entry."""
+    async def run_as_owner(self, call):
+        """Commit the intent, dispatch it and record the outcome."""
         part = self._partition(bookings.partition_of(call.key))
-        await part.wait_ready(min(call.deadline_ms, partition.READ_BACK_MS))
+        await part.wait_ready(
+            min(call.deadline_ms, partition.READ_BACK_TIMEOUT_MS)
+        )
         digest = _digest(call)
-        kept = part.kept(call.key)
-        if kept is None or kept.state == "not_run":
-            self._check_room(part, call)
+        booking = part.booking(call.key)
+        if booking is None or booking.state == "not_run":
+            self._check_new_key(part, call)
             self._guard.check(digest, verdicts.Verdict.NOT_RUN)
             intent = bookings.Intent(secrets.token_hex(8), call.key, digest)
-            announced = self._node.clock.now()
-            kept = await part.announce(intent)
-            if kept.intent.id == intent.id and kept.state == "open":
-                return await self._run_once(part, call, intent, announced)
-        if kept.intent.digest != digest:
-            raise errors.KeyReused("the key came with another request")
+            announced_at = self._node.clock.now()
+            booking = await part.announce(intent)
+            if booking.intent.id == intent.id and booking.state == "open":
+                return await self._run_once(part, call, intent, announced_at)
+        if booking.intent.digest != digest:
+            raise errors.KeyReused("the key was used for a different request")
         return await self._await_outcome(part, call)
 
-    def _check_room(self, part, call):
+    def _check_new_key(self, part, call):
         if part.table.is_expired(call.key):
             raise errors.KeyExpired(
-                "the ticket is older than the log's memory"
+                "the ticket is older than the log's oldest record"
             )
         if part.table.is_full:
             raise errors.BookingsFull(
-                "too many keys are remembered", retry_after_ms=10_000
+                "too many keys are stored", retry_after_ms=10_000
             )
 
-    async def _run_once(self, part, call, intent, announced):
-        """Dispatch the call whose own intent is the valid one."""
+    async def _run_once(self, part, call, intent, announced_at):
+        """Dispatch the call, whose intent this process has committed."""
 
-        def conclude(state, **members_of_outcome):
-            part.conclude(
+        def record_outcome(state, **outcome_fields):
+            part.record_outcome(
                 bookings.Outcome(
-                    intent.id, intent.key, state, **members_of_outcome
+                    intent.id, intent.key, state, **outcome_fields
                 )
             )
 
-        waited = self._node.clock.now() - announced
-        if waited > INTENT_FRESH_MS:
-            conclude("not_run")
+        waited_ms = self._node.clock.now() - announced_at
+        if waited_ms > MAX_INTENT_AGE_MS:
+            record_outcome("not_run")
             raise errors.LogUnavailable(
-                f"held up for {waited} ms", retry_after_ms=1_000
+                f"committing took {waited_ms} ms; the call was not run",
+                retry_after_ms=1_000,
             )
         try:
             answer = await self._dispatch(call, idempotent=False)
         except errors.ClementinewallError as exc:
-            is_free = exc.verdict is verdicts.Verdict.NOT_RUN
-            conclude("not_run" if is_free else "in_doubt")
+            is_not_run = exc.verdict is verdicts.Verdict.NOT_RUN
+            record_outcome("not_run" if is_not_run else "in_doubt")
             raise
         body = answer.body
-        if len(body) > bookings.KEPT_BODY_LIMIT:
+        if len(body) > bookings.MAX_KEPT_BODY_CHARS:
             body = ""
-        conclude(
+        record_outcome(
             "ran",
             status=answer.status,
             body=body,
@@ -186,40 +194,43 @@
         return answer
 
     async def _await_outcome(self, part, call):
-        """Wait for what another copy of the call comes to."""
-        end = self._node.clock.now() + call.deadline_ms
+        """Wait for the outcome of another copy of the call."""
+        deadline = self._node.clock.now() + call.deadline_ms
         while True:
-            kept = part.kept(call.key)
-            if kept is None or kept.state == "not_run":
+            booking = part.booking(call.key)
+            if booking is None or booking.state == "not_run":
                 raise errors.NoEndpoint(
-                    "an earlier copy was not run", retry_after_ms=200
+                    "an earlier copy of this call was not run",
+                    retry_after_ms=200,
                 )
-            if kept.state == "ran":
-                return _kept_answer(kept.outcome)
-            left = end - self._node.clock.now()
-            is_gone = kept.state == "open" and not self._is_live(kept.by)
-            if kept.state == "in_doubt" or is_gone or left <= 0:
+            if booking.state == "ran":
+                return _recorded_answer(booking.outcome)
+            remaining_ms = deadline - self._node.clock.now()
+            is_orphaned = booking.state == "open" and not self._is_live(
+                booking.by
+            )
+            if booking.state == "in_doubt" or is_orphaned or remaining_ms <= 0:
                 raise errors.BookingInDoubt(
-                    "a call with this key began and left no outcome",
-                    retry_after_ms=None if is_gone else 1_000,
+                    "a call with this key was started and has no outcome",
+                    retry_after_ms=None if is_orphaned else 1_000,
                 )
-            await part.wait_change(min(left, GONE_CHECK_MS))
+            await part.wait_change(min(remaining_ms, OWNER_CHECK_INTERVAL_MS))
 
     async def _dispatch(self, call, idempotent):
-        """Try endpoints until one answers or no more try is allowed."""
+        """Try endpoints until one answers or no further try is allowed."""
         digest = _digest(call)
-        end = self._node.clock.now() + call.deadline_ms
+        deadline = self._node.clock.now() + call.deadline_ms
         failed = set()
         last = None
-        for _ in range(ATTEMPTS):
+        for _ in range(MAX_ATTEMPTS):
             verdict = last.verdict if last else verdicts.Verdict.NOT_RUN
             self._guard.check(digest, verdict)
             name = self._choose(call, digest, failed, verdict)
-            left = end - self._node.clock.now()
-            if name is None or left <= 0:
+            remaining_ms = deadline - self._node.clock.now()
+            if name is None or remaining_ms <= 0:
                 break
             try:
-                return await self._attempt(call, name, left)
+                return await self._attempt(call, name, remaining_ms)
             except errors.EndpointFailed as exc:
                 last = exc
                 failed.add(name)
@@ -229,13 +240,13 @@
         if last is not None:
             raise last
         raise errors.NoEndpoint(
-            f"no endpoint of {call.service!r} is in reach",
+            f"no endpoint of service {call.service!r} is available",
             retry_after_ms=1_000,
         )
 
     def _choose(self, call, digest, failed, verdict):
         work = crash_guard.Work(digest, "service", call.service, digest)
-        only = self._guard.only_choice(work, failed, verdict)
+        only = self._guard.remaining_endpoint(work, failed, verdict)
         return only or self._loads.least_busy(call.service, digest, failed)
 
     async def _attempt(self, call, name, timeout_ms):
@@ -259,64 +270,65 @@
             service=call.service,
             endpoint=name,
         )
-        self._loads.sent(name, 0)
+        self._loads.record_sent(name, 0)
         try:
             answer = await attempt.call(self._http, name, request, timeout_ms)
         finally:
-            self._loads.ended(name)
-        self._loads.worked(name)
+            self._loads.record_end(name)
+        self._loads.record_answer(name)
         metrics.count("called", work_class=call.class_name)
         media_type = answer.headers.get("content-type", "")
         return Answer(answer.status_code, answer.text, media_type)
 
     async def _after_failure(self, call, digest, name, exc):
         _log.warning(
-            "an endpoint broke off",
+            "call to an endpoint failed",
             request=call.request_id,
             endpoint=name,
             verdict=exc.verdict.value,
             error=exc.message,
         )
-        self._loads.failed(name)
+        self._loads.record_failure(name)
         if exc.verdict is not verdicts.Verdict.NOT_RUN:
-            await self._guard.after_failure(
+            await self._guard.record_failure(
                 digest, call.request_id, name, strong=True
             )
 
-    async def _forward(self, home, call, timeout_ms):
-        """Have the home entry run the call.
+    async def _forward(self, owner, call, timeout_ms):
+        """Send the call to its owner and return the answer.
 
-        :raises EndpointFailed: it gave no answer of its own.
+        :raises EndpointFailed: the owner returned no valid answer.
         """
         token = self._node.settings.security.control_token
         request = self._http.build_request(
             "POST",
-            f"http://{home.control}{HOME_PATH}",
+            f"http://{owner.control}{BOOKINGS_PATH}",
             json=_schema.plain(call._replace(deadline_ms=timeout_ms)),
             headers={"Authorization": f"Bearer {token}"},
         )
-        patience = min(timeout_ms, FORWARD_PATIENCE_MS)
-        answer = await attempt.call(self._http, home.id, request, patience)
+        limit_ms = min(timeout_ms, FORWARD_TIMEOUT_MS)
+        answer = await attempt.call(self._http, owner.id, request, limit_ms)
         if answer.status_code != 200:
             error = _web.error_of_problem(answer.content)
             if error is None or isinstance(error, errors.NotReady):
-                raise errors.EndpointFailed(f"{home.id}: no clear answer")
+                raise errors.EndpointFailed(f"{owner.id}: no usable answer")
             raise error
         value, mistakes = _schema.build(Answer, answer.json())
         if mistakes:
-            raise errors.EndpointFailed(f"{home.id}: {mistakes[0]}")
+            raise errors.EndpointFailed(f"{owner.id}: {mistakes[0]}")
         return value
 
-    def _homes(self, key):
-        """Return the entries to act as home of the key, best first.
+    def _owners(self, key):
+        """Return the entries to try as owner of the key, in order.
 
-        They are drawn from the rows that every node knows, so that all
-        agree in calm times and a partition has one reader, not hundreds.
+        They are chosen among the members that every node knows.  While the
+        membership is stable all entries agree on them, so that a partition
+        is read by one entry and not by hundreds.
         """
         rows = {r.id: r for r in self._node.members.representatives("entry")}
         number = bookings.partition_of(key)
         order = members.rendezvous(f"bookings-{number}", list(rows))
-        return [rows[name] for name in order[:HOMES_TRIED]]
+        return [rows[name] for name in order[:MAX_OWNERS_TRIED]]
 
     def _is_live(self, boot):
         return any(row.boot == boot for row in self._node.members.live())
@@ -335,5 +347,5 @@
     return hashlib.blake2b(text.encode(), digest_size=12).hexdigest()
 
 
-def _kept_answer(outcome):
+def _recorded_answer(outcome):
     return Answer(outcome.status, outcome.body, outcome.media_type, True)
--- a/clementinewall/entry/loads.py
+++ b/clementinewall/entry/loads.py
@@ -1,9 +1,10 @@
-"""What this entry believes of the endpoints' load and health.
+"""This entry's view of the load and health of the endpoints.
 
 The entry polls the load reports of a bounded subset of the endpoints and
-adds what it sent since the last report.  As other entries send too, its own
-count is scaled by its part of the arrivals that the last report showed.
-Endpoints that fail are left out for a while, but never all of a model.
+adds the work that it sent since the last report.  As other entries send work
+too, its own count is scaled by its fraction of the arrivals in the last
+report.  Failing endpoints are excluded for a while, but never all endpoints
+of a model.
 """
 
 import collections
@@ -20,25 +21,25 @@
 from clementinewall import errors
 from clementinewall import logs
 from clementinewall.membership import members
-from clementinewall.policy import tracking
+from clementinewall.policy import load_tracking
 from clementinewall import verdicts
 
 _log = logs.PartLog("load")
 
 POLL_TIMEOUT_MS = 1_000
-NEAR_MS = 0.5
-FAR_MS = 1.5
-PREFIX_CHARS = 256
-PREFIXES_LIMIT = 8_192
-PREFIXES_A_PROMPT = 32
+SAME_DATA_CENTRE_MS = 0.5
+OTHER_DATA_CENTRE_MS = 1.5
+PREFIX_BLOCK_CHARS = 256
+MAX_PREFIXES = 8_192
+MAX_PREFIXES_PER_PROMPT = 32
 CHARS_PER_TOKEN = 4
 AFFINITY_CHARS = 1_024
-PREFERRED = 2
-PREFERRED_OPEN = 4
+PREFERRED_ENDPOINTS = 2
+PREFERRED_EXTRA_CALLS = 4
 
 
 class _Index(typing.NamedTuple):
-    """Ids by ``(kind, name)`` of what is served, in one version."""
+    """Endpoint ids by ``(kind, name)`` for one configuration version."""
 
     view: typing.Any
     serving: dict
@@ -47,29 +48,29 @@
 
 
 class Loads:
-    """The table of endpoints as this entry sees them."""
+    """The load and health of each endpoint, as this entry knows it."""
 
     def __init__(self, node):
-        """Read the configuration in force and the clock of ``node``."""
+        """Use the active configuration and the clock of ``node``."""
         self._node = node
         self._polls = node.settings.polls
-        self._seen_by_id = collections.defaultdict(tracking.Tracker)
+        self._tracker_by_id = collections.defaultdict(load_tracking.Tracker)
         self._endpoint_by_prefix = collections.OrderedDict()
-        self._known_index = None
+        self._cached_index = None
         self._http = _http.client(POLL_TIMEOUT_MS)
 
     async def run(self):
-        """Poll the reports for ever."""
+        """Poll load reports until cancelled."""
         while True:
-            wanted = self._due()
-            for name in list(self._seen_by_id):
+            due_ids = self._due_for_poll()
+            for name in list(self._tracker_by_id):
                 if name not in self._node.view.endpoints_by_id:
-                    del self._seen_by_id[name]
+                    del self._tracker_by_id[name]
             async with anyio.create_task_group() as group:
-                for name in wanted:
+                for name in due_ids:
                     group.start_soon(self._poll, name)
-            spread = random.uniform(0.8, 1.2)
-            await anyio.sleep(clock.seconds(self._polls.load_ms) * spread)
+            jitter = random.uniform(0.8, 1.2)
+            await anyio.sleep(clock.seconds(self._polls.load_ms) * jitter)
 
     def models(self):
         """Return the names of the models that the fleet serves."""
@@ -81,113 +82,126 @@
         return self._index().serving.get((kind, name), [])
 
     def is_known(self, kind, name):
-        """Tell whether any endpoint serves or served ``name``."""
+        """Return whether any endpoint lists ``name``, in any state."""
         return (kind, name) in self._index().known
 
-    def usable(self, kind, name, without=()):
-        """Return the ids to choose from now."""
-        ids = [i for i in self.serving(kind, name) if i not in without]
+    def usable(self, kind, name, excluded=()):
+        """Return the ids of endpoints that may be chosen now."""
+        ids = [i for i in self.serving(kind, name) if i not in excluded]
         ids = [i for i in ids if not self._is_paused(i)]
         now = self._node.clock.now()
-        well = [i for i in ids if self._seen_by_id[i].health.is_usable(now)]
-        # If every endpoint of a model looks ill, the fault is likelier on
-        # this side: leaving them all out would refuse work for nothing.
-        return well or ids
-
-    def candidates(self, model, prompt, without=()):
-        """Return the engines to choose from as the policy sees them."""
-        liked = self.preferred("engine", model, prompt)
-        near = self._index().subset.get(("engine", model), [])
-        ids = self.usable("engine", model, without)
+        healthy = [
+            i for i in ids if self._tracker_by_id[i].health.is_usable(now)
+        ]
+        # If every endpoint of a model appears unhealthy, the fault is more
+        # likely on this side; excluding them all would refuse work needlessly.
+        return healthy or ids
+
+    def candidates(self, model, prompt, excluded=()):
+        """Return the engines to choose from, as routing candidates."""
+        preferred = self.preferred("engine", model, prompt)
+        subset = self._index().subset.get(("engine", model), [])
+        ids = self.usable("engine", model, excluded)
         if len(ids) > self._polls.subset:
-            polled = {*near, *liked}
+            polled = {*subset, *preferred}
             ids = [name for name in ids if name in polled] or ids[
                 : self._polls.subset
             ]
-        hints = self._hints(prompt)
-        return [self._candidate(name, hints) for name in ids]
+        cached = self._cached_tokens(prompt)
+        return [self._candidate(name, cached) for name in ids]
 
-    def by_preference(self, kind, name, text):
-        """Return the endpoints in the order that equal texts find.
+    def preference_order(self, kind, name, text):
+        """Return the endpoints in the order in which to prefer them.
 
-        The order comes from the published configuration, on which all
-        entries agree, and from the first part of the text only, so that
-        prompts with a common beginning share the caches.
+        The order depends on the published configuration, which all entries
+        share, and on the first ``AFFINITY_CHARS`` characters of the text
+        only, so that prompts with a common prefix share a cache.
         """
         key = f"{name}|{text[:AFFINITY_CHARS]}"
         return members.rendezvous(key, self.serving(kind, name))
 
     def preferred(self, kind, name, text):
-        """Return the endpoints that equal texts find at every entry."""
-        return tuple(self.by_preference(kind, name, text)[:PREFERRED])
+        """Return the endpoints that every entry prefers for the text."""
+        return tuple(
+            self.preference_order(kind, name, text)[:PREFERRED_ENDPOINTS]
+        )
 
-    def least_busy(self, service, digest, without=()):
-        """Return the service endpoint with the least open calls.
+    def least_busy(self, service, digest, excluded=()):
+        """Return the service endpoint with the fewest open calls.
 
-        Those that equal calls prefer go first unless they are much busier.
+        Others count ``PREFERRED_EXTRA_CALLS`` more open calls than those
+        that equal calls prefer.  ``None`` if no endpoint is usable.
         """
-        ids = self.usable("service", service, without)
+        ids = self.usable("service", service, excluded)
         if not ids:
             return None
         order = members.rendezvous(self._node.id, ids)
-        liked = self.preferred("service", service, digest)
+        preferred = self.preferred("service", service, digest)
 
         def rank(name):
-            extra = 0 if name in liked else PREFERRED_OPEN
-            return self._seen_by_id[name].open + extra, self._distance(name)
+            extra = 0 if name in preferred else PREFERRED_EXTRA_CALLS
+            return self._tracker_by_id[name].open + extra, self._distance(name)
 
         return min(order, key=rank)
 
     def endpoint(self, endpoint_id):
-        """Return the endpoint's published row, or ``None``."""
+        """Return the endpoint's row in the configuration, or ``None``."""
         return self._node.view.endpoints_by_id.get(endpoint_id)
 
-    def take_header(self, endpoint_id, text):
-        """Take in the report that came along with an answer, if any."""
+    def apply_report_header(self, endpoint_id, text):
+        """Apply the load report in the header of an answer, if any."""
         if text is None:
             return
         try:
             report = reports.decode(json.loads(text))
         except (ValueError, errors.BadRecord) as exc:
-            _log.debug("a garbled header", endpoint=endpoint_id, why=exc)
+            _log.debug(
+                "malformed load report in a header; ignored",
+                endpoint=endpoint_id,
+                why=exc,
+            )
             return
-        self._seen_by_id[endpoint_id].take(report, self._node.clock.now())
+        self._tracker_by_id[endpoint_id].apply_report(
+            report, self._node.clock.now()
+        )
 
     def report(self, endpoint_id):
         """Return the last report of the endpoint, or ``None``."""
-        return self._seen_by_id[endpoint_id].report
+        return self._tracker_by_id[endpoint_id].report
 
-    def sent(self, endpoint_id, tokens):
-        """Count work that goes to the endpoint now."""
-        self._seen_by_id[endpoint_id].sent(tokens)
+    def record_sent(self, endpoint_id, tokens):
+        """Count a request that is sent to the endpoint."""
+        self._tracker_by_id[endpoint_id].sent(tokens)
 
-    def ended(self, endpoint_id):
-        """Count the end of one such work."""
-        self._seen_by_id[endpoint_id].ended()
+    def record_end(self, endpoint_id):
+        """Count the end of a request at the endpoint."""
+        self._tracker_by_id[endpoint_id].ended()
 
-    def worked(self, endpoint_id, gap_ms=None):
-        """Note an answer, with the time seen between its tokens."""
-        self._seen_by_id[endpoint_id].worked(gap_ms)
+    def record_answer(self, endpoint_id, gap_ms=None):
+        """Record an answer, with the time between its tokens in ms."""
+        self._tracker_by_id[endpoint_id].record_answer(gap_ms)
 
-    def failed(self, endpoint_id):
-        """Note a failure; several in a row leave the endpoint out."""
+    def record_failure(self, endpoint_id):
+        """Record a failure; several in a row exclude the endpoint."""
         now = self._node.clock.now()
-        paused_ms = self._seen_by_id[endpoint_id].health.failed(now)
+        paused_ms = self._tracker_by_id[endpoint_id].health.record_failure(now)
         if paused_ms:
             _log.warning(
-                "an endpoint is left out", endpoint=endpoint_id, ms=paused_ms
+                "endpoint excluded after repeated failures",
+                endpoint=endpoint_id,
+                ms=paused_ms,
             )
 
-    def remember_prefix(self, endpoint_id, prompt):
-        """Note that the engine now caches the prompt's prefixes."""
+    def record_prefixes(self, endpoint_id, prompt):
+        """Record that the engine now caches the prompt's prefixes."""
         for digest, _ in _prefixes(prompt):
             self._endpoint_by_prefix[digest] = endpoint_id
             self._endpoint_by_prefix.move_to_end(digest)
-        while len(self._endpoint_by_prefix) > PREFIXES_LIMIT:
+        while len(self._endpoint_by_prefix) > MAX_PREFIXES:
             self._endpoint_by_prefix.popitem(last=False)
 
-    def _hints(self, prompt):
-        """Return the cached tokens by engine, as far as it is known."""
+    def _cached_tokens(self, prompt):
+        """Return the known number of cached prefix tokens by engine id."""
         cached = {}
         for digest, chars in _prefixes(prompt):
             engine = self._endpoint_by_prefix.get(digest)
@@ -196,15 +210,15 @@
         return cached
 
     def _index(self):
-        """Return the tables drawn from the configuration in force.
+        """Return the index of the active configuration.
 
-        They are made anew when its version changes, not for each request:
-        a pass over a large fleet takes longer than the whole choice.
+        It is rebuilt when the configuration changes, not for each request:
+        a pass over a large fleet takes longer than choosing an endpoint.
         """
         view = self._node.view
-        if self._known_index is None or self._known_index.view is not view:
-            self._known_index = self._make_index(view)
-        return self._known_index
+        if self._cached_index is None or self._cached_index.view is not view:
+            self._cached_index = self._make_index(view)
+        return self._cached_index
 
     def _make_index(self, view):
         serving = collections.defaultdict(list)
@@ -222,36 +236,40 @@
         return _Index(view, dict(serving), set(known), subset)
 
     def _is_paused(self, endpoint_id):
-        report = self._seen_by_id[endpoint_id].report
+        report = self._tracker_by_id[endpoint_id].report
         return report is not None and (report.quiesced or report.changing)
 
     def _distance(self, endpoint_id):
         endpoint = self._node.view.endpoints_by_id[endpoint_id]
         own = self._node.settings.instance
-        return NEAR_MS if endpoint.data_centre == own.data_centre else FAR_MS
+        return (
+            SAME_DATA_CENTRE_MS
+            if endpoint.data_centre == own.data_centre
+            else OTHER_DATA_CENTRE_MS
+        )
 
-    def _candidate(self, endpoint_id, hints):
-        return self._seen_by_id[endpoint_id].candidate(
+    def _candidate(self, endpoint_id, cached):
+        return self._tracker_by_id[endpoint_id].candidate(
             endpoint_id,
             self._node.clock.now(),
             self._distance(endpoint_id),
-            hints.get(endpoint_id, 0),
+            cached.get(endpoint_id, 0),
         )
 
-    def _due(self):
+    def _due_for_poll(self):
         """Return the endpoints of the subsets whose report is old.
 
-        Answers bring reports along, so under load few are left to poll.
+        Answers carry load reports too, so under load few need a poll.
         """
         limit = self._node.clock.now() - self._polls.load_ms / 2
-        wanted = set()
+        due_ids = set()
         for ids in self._index().subset.values():
-            wanted.update(ids)
+            due_ids.update(ids)
         return [
             name
-            for name in wanted
-            if self._seen_by_id[name].at is None
-            or self._seen_by_id[name].at <= limit
+            for name in due_ids
+            if self._tracker_by_id[name].at is None
+            or self._tracker_by_id[name].at <= limit
         ]
 
     async def _poll(self, endpoint_id):
@@ -263,17 +281,23 @@
                 self._http, endpoint_id, endpoint.address
             )
         except errors.EndpointFailed as exc:
-            _log.debug("no report", endpoint=endpoint_id, why=exc.message)
+            _log.debug(
+                "load report not received",
+                endpoint=endpoint_id,
+                why=exc.message,
+            )
             if exc.verdict is verdicts.Verdict.NOT_RUN:
-                self.failed(endpoint_id)
+                self.record_failure(endpoint_id)
             return
-        self._seen_by_id[endpoint_id].take(report, self._node.clock.now())
+        self._tracker_by_id[endpoint_id].apply_report(
+            report, self._node.clock.now()
+        )
 
 
 def _prefixes(prompt):
-    """Yield the digest and length of each whole block of the prompt."""
+    """Yield digest and length in characters of each prefix in blocks."""
     state = hashlib.blake2b(digest_size=8)
-    last = min(len(prompt), PREFIX_CHARS * PREFIXES_A_PROMPT)
-    for end in range(PREFIX_CHARS, last + 1, PREFIX_CHARS):
-        state.update(prompt[end - PREFIX_CHARS : end].encode())
+    last = min(len(prompt), PREFIX_BLOCK_CHARS * MAX_PREFIXES_PER_PROMPT)
+    for end in range(PREFIX_BLOCK_CHARS, last + 1, PREFIX_BLOCK_CHARS):
+        state.update(prompt[end - PREFIX_BLOCK_CHARS : end].encode())
         yield state.copy().digest(), end
--- a/clementinewall/entry/program.py
+++ b/clementinewall/entry/program.py
@@ -1,4 +1,4 @@
-"""The entry process: its tasks, its listeners and its end."""
+"""The entry process: its tasks, listeners and shutdown."""
 
 import anyio
 from starlette import responses
@@ -11,7 +11,7 @@
 from clementinewall.entry import calls
 from clementinewall.entry import crash_guard
 from clementinewall.entry import loads
-from clementinewall.entry import model
+from clementinewall.entry import model_relay
 from clementinewall.entry import shares
 from clementinewall import errors
 from clementinewall import lifecycle
@@ -28,28 +28,28 @@
     """The entry program."""
 
     def __init__(self, life):
-        """Take the life cycle of the process."""
+        """Build the parts; ``life`` is the life cycle of the process."""
         self.node = node.Node(life, "entry")
         self.loads = loads.Loads(self.node)
         guard = crash_guard.CrashGuard(self.node, self.loads)
-        known_shares = shares.Shares(self.node.clock.now)
+        caller_shares = shares.Shares(self.node.clock.now)
         self.calls = calls.Calls(self.node, self.loads, guard)
-        self.relay = model.ModelRelay(
-            self.node, self.loads, known_shares, guard
+        self.relay = model_relay.ModelRelay(
+            self.node, self.loads, caller_shares, guard
         )
         self.callers = app.CallerApp(
             self.node, self.loads, self.relay, self.calls
         )
-        self._homed = 0
+        self._owned_bookings = 0
 
     async def run(self):
-        """Serve until asked to stop and drained."""
+        """Serve until stopped, then drain; return the final event."""
         listen = self.node.settings.listen
         control = _web.application(
             [
                 *self.node.control_routes(),
                 routing.Route(
-                    calls.HOME_PATH, self._on_booking, methods=["POST"]
+                    calls.BOOKINGS_PATH, self._on_booking, methods=["POST"]
                 ),
                 routing.Route(planner.OUTCOMES_PATH, self._on_outcomes),
             ]
@@ -65,56 +65,61 @@
                 _web.serve, self.callers.application(), listen.callers, closed
             )
             _log.info("started", callers=listen.callers, boot=self.node.boot)
-            self.node.life.note(lifecycle.Event.STARTED)
+            self.node.lifecycle.handle_event(lifecycle.Event.STARTED)
             await self.node.stopping.wait()
-            end = await self._drain()
+            event = await self._drain()
             closed.set()
             await anyio.sleep(clock.seconds(DRAIN_POLL_MS) * 2)
             group.cancel_scope.cancel()
-        return end
+        return event
 
     async def _drain(self):
-        """Leave the callers' answers, then wait for what is open.
+        """Announce the drain, then wait for the open requests.
 
         Return the event that ends the process.
         """
         limits = self.node.settings.limits
-        end = self.node.drain_end = self.node.clock.now() + limits.drain_ms
-        await self.node.leave()
-        # Callers kept the answer that names this entry for so long, and
-        # still come with new work in good faith.
+        deadline = self.node.drain_end = (
+            self.node.clock.now() + limits.drain_ms
+        )
+        await self.node.announce_draining()
+        # Callers may keep an answer of /v1/addresses that names this entry
+        # for this long, and still send new requests.
         await anyio.sleep(clock.seconds(limits.keep_addresses_ms))
-        while self.callers.open or self._homed:
-            if self.node.clock.now() > end:
-                _log.warning("cut at the end", open=self.callers.open)
+        while self.callers.open_requests or self._owned_bookings:
+            if self.node.clock.now() > deadline:
+                _log.warning(
+                    "drain timed out; cutting open requests",
+                    open=self.callers.open_requests,
+                )
                 return lifecycle.Event.OUT_OF_TIME
             await anyio.sleep(clock.seconds(DRAIN_POLL_MS))
-        # What is read from now on would be cut by the end of the process.
+        # A request read from now on would be cut when the process ends.
         self.node.drain_end = self.node.clock.now()
-        # Outcomes of bookings that were answered a moment ago.
+        # Bookings answered just now may have outcomes yet to be committed.
         await self.calls.flush()
         _log.info("drained")
         return lifecycle.Event.DRAINED
 
     async def _on_outcomes(self, request):
-        self.node.check(request)
+        self.node.require_token(request)
         by_model = self.relay.outcomes.by_model
         return responses.JSONResponse(_schema.plain(by_model))
 
     async def _on_booking(self, request):
-        self.node.check(request)
+        self.node.require_token(request)
         body = await _web.read_json(request, self.node.settings.limits)
         call, mistakes = _schema.build(calls.Call, body)
         if mistakes:
             raise errors.BadRecord(str(mistakes[0]))
         if not self.node.is_ready():
-            raise errors.NotReady("no configuration is known yet")
-        self.node.check_time(call.deadline_ms)
-        self._homed += 1
+            raise errors.NotReady("no configuration has been received yet")
+        self.node.check_remaining_time(call.deadline_ms)
+        self._owned_bookings += 1
         try:
-            answer = await self.calls.run_as_home(call)
+            answer = await self.calls.run_as_owner(call)
         finally:
-            self._homed -= 1
+            self._owned_bookings -= 1
         return responses.JSONResponse(_schema.plain(answer))
 
 
@@ -124,7 +129,7 @@
 
 
 def main(options, inbox):
-    """Read the settings and run, or only check them."""
+    """Load the settings and run, or only check them."""
     node.run_with_settings(options, inbox, _needs_callers, run)
 
 
--- a/clementinewall/entry/work.py
+++ b/clementinewall/entry/request_parsing.py
@@ -1,7 +1,7 @@
-"""Reading a caller's request into typed work.
+"""Parses callers' requests into typed values.
 
-Nothing here waits or sends; a request that cannot be read is refused with
-what is wrong with it, before anything has run.
+Nothing here waits or sends; an invalid request is refused, with what is wrong
+with it, before anything has run.
 """
 
 import hashlib
@@ -20,11 +20,11 @@
 TRACE_HEADER = "traceparent"
 DEFAULT_MAX_TOKENS = 16
 MAX_TOKENS = 100_000
-ID_LIMIT = 200
+MAX_ID_CHARS = 200
 
 
-class Asked(typing.NamedTuple):
-    """Who asks for what class of work, under which id."""
+class RequestContext(typing.NamedTuple):
+    """The id, caller and class of a request."""
 
     request_id: str
     caller: str
@@ -34,9 +34,9 @@
 
 
 class ModelWork(typing.NamedTuple):
-    """A request for a model's answer."""
+    """A model request; ``delivered`` is the caller's last position."""
 
-    asked: Asked
+    context: RequestContext
     path: str
     model: str
     prompt: str
@@ -48,16 +48,16 @@
     digest: str
 
 
-def read_asked(request, view, kind):
-    """Return the class and caller of the request.
+def read_context(request, view, kind):
+    """Return the :class:`RequestContext` of the request.
 
     :raises UnknownClass: the class is not published.
     """
     headers = request.headers
     request_id = headers.get(REQUEST_ID_HEADER) or secrets.token_hex(8)
     name, work_class = _class_of(headers.get(CLASS_HEADER), view, kind)
-    return Asked(
-        request_id[:ID_LIMIT],
+    return RequestContext(
+        request_id[:MAX_ID_CHARS],
         _caller_of(request),
         name,
         work_class,
@@ -65,14 +65,16 @@
     )
 
 
-def read_model_work(request, asked, body, raw):
-    """Return the model work that the body asks for.
+def read_model_work(request, context, body, raw):
+    """Return the :class:`ModelWork` for the body.
 
     :raises BadRequest: a member is missing or has the wrong type.
     """
     model = body.get("model")
     if not isinstance(model, str) or not model:
-        raise errors.BadRequest("model: found nothing, allowed is a name")
+        raise errors.BadRequest(
+            "model: missing, empty or not text, allowed is a name"
+        )
     limit = body.get("max_tokens", DEFAULT_MAX_TOKENS)
     if not isinstance(limit, int) or not 1 <= limit <= MAX_TOKENS:
         raise errors.BadRequest(
@@ -81,16 +83,16 @@
     if not isinstance(body.get("stream", False), bool):
         raise errors.BadRequest("stream: allowed is true or false")
     path = request.url.path
-    digest = hashlib.blake2b(asked.caller.encode() + raw, digest_size=12)
+    digest = hashlib.blake2b(context.caller.encode() + raw, digest_size=12)
     return ModelWork(
-        asked,
+        context,
         path,
         model,
         _prompt_of(path, body),
         body,
         raw,
         body.get("stream", False),
-        _position(request.headers.get(POSITION_HEADER)),
+        _read_position(request.headers.get(POSITION_HEADER)),
         request.headers.get(STREAM_HEADER),
         digest.hexdigest(),
     )
@@ -99,11 +101,13 @@
 def read_key(request):
     """Return the caller's idempotency key, or ``None``.
 
-    :raises BadRequest: it is too long.
+    :raises BadRequest: it is longer than ``MAX_ID_CHARS``.
     """
     key = request.headers.get(KEY_HEADER)
-    if key is not None and len(key) > ID_LIMIT:
-        raise errors.BadRequest(f"{KEY_HEADER} is over {ID_LIMIT} characters")
+    if key is not None and len(key) > MAX_ID_CHARS:
+        raise errors.BadRequest(
+            f"{KEY_HEADER} is over {MAX_ID_CHARS} characters"
+        )
     return key or None
 
 
@@ -112,7 +116,7 @@
     if name is not None:
         if name not in named:
             raise errors.UnknownClass(
-                f"{name!r} is not one of: {', '.join(sorted(named))}"
+                f"class {name!r} is not one of: {', '.join(sorted(named))}"
             )
         return name, named[name]
     for default, work_class in sorted(named.items()):
@@ -127,11 +131,11 @@
     """Return a name for the caller that is safe to log."""
     given = request.headers.get(CALLER_HEADER)
     if given:
-        return given[:ID_LIMIT]
+        return given[:MAX_ID_CHARS]
     secret = request.headers.get("authorization")
     if secret:
-        # The bearer token is the caller's secret, so only a digest of it
-        # is kept and logged.
+        # The bearer token is a secret, so only its digest is stored and
+        # logged.
         return hashlib.blake2b(secret.encode(), digest_size=6).hexdigest()
     return request.client.host if request.client else "unknown"
 
@@ -150,7 +154,7 @@
     return prompt
 
 
-def _position(text):
+def _read_position(text):
     if text is None:
         return 0
     if not text.isdigit() or len(text) > 17:
--- a/clementinewall/entry/shares.py
+++ b/clementinewall/entry/shares.py
@@ -1,35 +1,36 @@
-"""The callers' parts of the recent work at this entry.
+"""Each caller's share of the recent work at this entry.
 
-Counts decay, so that a caller who floods is forgiven soon after.  The table
-is bounded; on overflow the smallest count goes, whose share was nearly none.
+Counts decay, so that a flood stops counting against its caller soon after.
+The table is bounded; on overflow the smallest count is dropped, whose share
+was close to zero.
 """
 
 import math
 
 HALF_LIFE_MS = 10_000
-CALLERS_LIMIT = 2_000
-FORGET_BELOW = 1.0
+MAX_CALLERS = 2_000
+MIN_TOKENS = 1.0
 
 
 class Shares:
-    """Decaying counts of tokens by caller."""
+    """Exponentially decaying token counts by caller."""
 
     def __init__(self, now):
-        """Start empty; ``now`` gives milliseconds."""
+        """Start empty; ``now`` returns the time in ms."""
         self._now = now
-        self._at = now()
+        self._decayed_at = now()
         self._tokens_by_caller = {}
 
     def add(self, caller, tokens):
-        """Count admitted work."""
+        """Count ``tokens`` of admitted work."""
         self._decay()
         known = self._tokens_by_caller
         known[caller] = known.get(caller, 0.0) + tokens
-        if len(known) > CALLERS_LIMIT:
+        if len(known) > MAX_CALLERS:
             del known[min(known, key=known.get)]
 
-    def of(self, caller):
-        """Return the caller's share and the number of callers."""
+    def share(self, caller):
+        """Return the caller's share, 0 to 1, and the number of callers."""
         self._decay()
         total = sum(self._tokens_by_caller.values())
         count = len(self._tokens_by_caller)
@@ -38,13 +39,13 @@
         return self._tokens_by_caller.get(caller, 0.0) / total, count
 
     def _decay(self):
-        passed = self._now() - self._at
+        passed = self._now() - self._decayed_at
         if passed < HALF_LIFE_MS / 20:
             return
-        self._at += passed
+        self._decayed_at += passed
         factor = math.pow(0.5, passed / HALF_LIFE_MS)
         self._tokens_by_caller = {
             caller: tokens * factor
             for caller, tokens in self._tokens_by_caller.items()
-            if tokens * factor >= FORGET_BELOW
+            if tokens * factor >= MIN_TOKENS
         }
--- a/clementinewall/gateway/callers.py
+++ b/clementinewall/gateway/callers.py
@@ -1,7 +1,7 @@
-"""The connections of callers, and what is answered on them.
+"""Serves the connections of callers.
 
-Each connection has a task.  When its caller leaves while a request is being
-served, the work for it is cancelled.
+Each connection has a task.  When the caller disconnects while a request is
+being served, the work for that request is cancelled.
 """
 
 import random
@@ -23,24 +23,27 @@
 class Callers:
     """Serves the callers' connections of this gateway."""
 
-    def __init__(self, beliefs, budgets, guard, plain, streams, drain, now):
-        """Hand requests to the relays for plain and for model work.
+    def __init__(
+        self, fleet_view, budgets, crash_guard, plain, streams, drain, now
+    ):
+        """Dispatch requests to the relays ``plain`` and ``streams``.
 
-        ``drain`` knows what can be finished once the process has to stop.
+        ``drain`` decides which requests can be finished before the process
+        stops; ``now`` returns the time in ms.
         """
-        self._beliefs = beliefs
+        self._fleet_view = fleet_view
         self._budgets = budgets
-        self._guard = guard
+        self._crash_guard = crash_guard
         self._plain = plain
         self._streams = streams
         self._now = now
         self._connections = set()
         self._drain = drain
         self._scope_by_exchange = {}
-        self.open = 0
+        self.open_requests = 0
 
-    def leave(self, left_ms):
-        """End each connection after its next answer, all in ``left_ms``."""
+    def drain(self, left_ms):
+        """Close each connection after its next answer, within ``left_ms``."""
         self._drain.begin(left_ms)
         for connection in self._connections:
             connection.close_after_answer()
@@ -50,25 +53,27 @@
             scope.deadline = min(scope.deadline, latest)
 
     def stop_reading(self):
-        """Take no further request; close what is idle."""
+        """Read no further request; close idle connections."""
         for connection in self._connections:
             connection.stop_reading()
 
     @property
     def is_connected(self):
-        """Tell whether there is a connection."""
+        """Tell whether any connection is open."""
         return bool(self._connections)
 
     @property
     def is_busy(self):
-        """Tell whether a request is open or on its way."""
-        return self.open or not all(c.is_idle for c in self._connections)
+        """Tell whether a request is being served or received."""
+        return self.open_requests or not all(
+            c.is_idle for c in self._connections
+        )
 
     async def serve(self, stream):
-        """Serve one connection until its end."""
+        """Serve one connection until it closes."""
         limits = server.Limits()
-        if self._beliefs.configuration is not None:
-            limits = self._beliefs.configuration.limits
+        if self._fleet_view.configuration is not None:
+            limits = self._fleet_view.configuration.limits
         connection = server.Connection(stream, limits)
         self._connections.add(connection)
         if self._drain.is_on:
@@ -84,73 +89,83 @@
             try:
                 request = await connection.read_request()
             except server.Refused as exc:
-                await self._refuse_bytes(connection, exc)
+                await self._refuse_malformed(connection, exc)
                 return
             if request is None:
                 return
-            self.open += 1
+            self.open_requests += 1
             try:
                 await self._serve_request(connection, request)
-            except server.CallerGone:
+            except server.CallerDisconnected:
                 return
             finally:
-                self.open -= 1
+                self.open_requests -= 1
             if not connection.next_request():
                 return
 
-    async def _refuse_bytes(self, connection, refused):
+    async def _refuse_malformed(self, connection, refused):
         error = errors.BadRequest(refused.why)
         error.status = refused.status
         connection.close_after_answer()
-        _log.info("bytes refused", status=refused.status, why=refused.why)
+        _log.info(
+            "refused malformed request; closing the connection",
+            status=refused.status,
+            why=refused.why,
+        )
         try:
             await connection.answer(*exchanges.problem(error))
-        except server.CallerGone:
-            _log.debug("caller gone before the refusal")
+        except server.CallerDisconnected:
+            _log.debug("caller disconnected before the refusal was sent")
         except h11.LocalProtocolError as exc:
-            _log.debug("refusal not sent", why=str(exc))
+            _log.debug("refusal of a malformed request not sent", why=str(exc))
 
     async def _serve_request(self, connection, request):
-        """Answer one request, but stop when its caller has gone."""
+        """Answer one request; cancel it if its caller disconnects."""
         with anyio.CancelScope() as scope:
-            connection.when_gone(scope.cancel)
+            connection.set_close_callback(scope.cancel)
             try:
                 await self._answer(connection, request)
             finally:
-                connection.when_gone(None)
+                connection.set_close_callback(None)
         if scope.cancelled_caught:
-            attempt = request.header(calls.ATTEMPT) or b""
+            attempt = request.header(calls.ATTEMPT_HEADER) or b""
             _log.info("caller gone", request=attempt.decode("latin-1"))
-            raise server.CallerGone
+            raise server.CallerDisconnected
 
     async def _answer(self, connection, request):
         exchange = None
         try:
             call = calls.decode(request)
             exchange = self._exchange(connection, call)
-            await self._run_in_time(exchange)
+            await self._run_with_deadline(exchange)
         except errors.ClementinewallError as exc:
             await self._fail(connection, request, exchange, exc)
-        except server.CallerGone:
+        except server.CallerDisconnected:
             connection.close_after_answer()
         except Exception as exc:
-            _log.error("defect", why=repr(exc))
+            _log.error(
+                "unexpected exception while serving a request", why=repr(exc)
+            )
             logs.traceback(_log)
             error = errors.ClementinewallError("internal error")
             await self._fail(connection, request, exchange, error)
 
     def _exchange(self, connection, call):
-        configuration = self._beliefs.configuration
+        configuration = self._fleet_view.configuration
         if configuration is None:
             raise errors.NotReady("no configuration is known yet")
         route = configuration.route_for(call.host, call.path)
         if route is None:
             raise errors.NoRoute("no route leads there")
-        service = configuration.service_by_name.get(_pick(route.shares))
+        service = configuration.service_by_name.get(
+            _choose_service(route.shares)
+        )
         if service is None:
-            raise errors.NoEndpoint(f"route {route.name} has no service")
+            raise errors.NoEndpoint(
+                f"no service is configured for route {route.name}"
+            )
         self._budgets.count_request(service)
-        self._guard.check(call)
+        self._crash_guard.check(call)
         exchange = exchanges.Exchange(
             connection, call, route, service, self._now
         )
@@ -161,17 +176,17 @@
             version=configuration.version,
             goal_ms=route.goal_ms,
             left_ms=exchange.left_ms,
-            **self._leaving_fields(exchange),
+            **self._drain_fields(exchange),
         )
         return exchange
 
-    def _leaving_fields(self, exchange):
-        """Return what the log says of a request that came in a drain."""
+    def _drain_fields(self, exchange):
+        """Return the log fields for a request that came during a drain."""
         if not self._drain.is_on:
             return {}
         return {"taken_after_ms": self._drain.taken_after_ms(exchange)}
 
-    async def _run_in_time(self, exchange):
+    async def _run_with_deadline(self, exchange):
         if self._drain.is_on:
             exchange.end_within(self._drain.left_ms)
         with anyio.move_on_after(clock.seconds(exchange.left_ms)) as scope:
@@ -181,7 +196,7 @@
             finally:
                 del self._scope_by_exchange[exchange]
         if scope.cancelled_caught:
-            raise self._out_of_time(exchange)
+            raise self._timeout_error(exchange)
         took = exchange.waited_ms
         metrics.observe_ms("answered", took, route=exchange.route.name)
         _log.info("answered", request=exchange.call.attempt, took_ms=took)
@@ -192,10 +207,10 @@
         else:
             self._drain.check_call(exchange)
             await self._plain.run(exchange)
-            self._drain.note_call(exchange)
+            self._drain.record_call(exchange)
 
-    def _out_of_time(self, exchange):
-        """Return the error for a request whose time is over."""
+    def _timeout_error(self, exchange):
+        """Return the error for a request that reached its deadline."""
         if not exchange.is_cut_short:
             return errors.DeadlineExceeded("no answer within the timeout")
         metrics.count("cut", route=exchange.route.name)
@@ -205,14 +220,16 @@
             route=exchange.route.name,
             taken_after_ms=self._drain.taken_after_ms(exchange),
             waited_ms=exchange.waited_ms,
-            answer_begun=exchange.connection.answered,
+            answer_begun=exchange.connection.answer_started,
         )
         if exchange.sends:
-            return errors.Stopped("the instance stopped before the answer")
-        return errors.Leaving("the instance stopped", retry_after_ms=0)
+            return errors.Stopped(
+                "the instance stopped before the answer was complete"
+            )
+        return errors.Draining("the instance stopped", retry_after_ms=0)
 
     async def _fail(self, connection, request, exchange, error):
-        attempt = request.header(calls.ATTEMPT) or b""
+        attempt = request.header(calls.ATTEMPT_HEADER) or b""
         metrics.count("failed", code=error.code)
         _log.info(
             "failed",
@@ -222,20 +239,21 @@
             verdict=error.verdict.value,
             why=error.message,
         )
-        if connection.answered:
-            # Closing without the end of the body shows that it is cut off.
+        if connection.answer_started:
+            # Closing before the end of the body shows the caller that the
+            # answer is truncated.
             connection.close_after_answer()
             return
         left_ms = exchange.left_ms if exchange else None
         head, body = exchanges.problem(error, left_ms)
         try:
             await connection.answer(head, body)
-        except server.CallerGone:
+        except server.CallerDisconnected:
             connection.close_after_answer()
 
 
-def _pick(shares):
-    """Return the service of one request, by the weights of the route."""
+def _choose_service(shares):
+    """Return a service name, drawn by the weights of the route."""
     if len(shares) == 1:
         return shares[0].service
     weights = [max(0.0, share.weight) for share in shares]
--- /dev/null
+++ b/clementinewall/gateway/cell_membership.py
@@ -0,0 +1,58 @@
+"""The cell of gateways and engines that this gateway belongs to."""
+
+from clementinewall import domain
+from clementinewall import logs
+from clementinewall.policy import cells
+
+_log = logs.PartLog("cell")
+
+
+class CellMembership:
+    """Keeps the cell of this gateway current."""
+
+    def __init__(self, settings, fleet_view):
+        """Start as the only gateway, without engines."""
+        self._ip = settings.ip
+        self._fleet_view = fleet_view
+        self._cell = cells.Cell(frozenset((self._ip,)), frozenset())
+        self._assigned = None
+
+    def update(self, live_ips):
+        """Reassign the cells if the live gateways or engines changed."""
+        engines = [
+            cells.Engine(endpoint.id, endpoint.service, endpoint.stage)
+            for endpoint in self._fleet_view.endpoint_by_id.values()
+            if endpoint.stage in domain.STAGES and not endpoint.draining
+        ]
+        assigned = frozenset(live_ips), frozenset(engines)
+        if assigned == self._assigned:
+            return
+        self._assigned = assigned
+        cell = cells.assign(self._ip, {self._ip, *live_ips}, engines)
+        if cell == self._cell:
+            return
+        self._cell = cell
+        _log.info(
+            "cell assigned",
+            gateways=len(cell.gateways),
+            engines=len(cell.engines),
+            of_gateways=len(live_ips) + 1,
+            of_engines=len(engines),
+        )
+
+    def is_cell_gateway(self, ip):
+        """Return whether a gateway belongs to this gateway's cell."""
+        return ip in self._cell.gateways
+
+    def is_cell_engine(self, state):
+        """Return whether an engine belongs to this gateway's cell."""
+        return state.endpoint.id in self._cell.engines
+
+    def cell_engines(self, states):
+        """Return those of the cell, or all if it has no decode engine."""
+        own = [s for s in states if self.is_cell_engine(s)]
+        return own if _has_decode_engine(own) else states
+
+
+def _has_decode_engine(states):
+    return any(s.endpoint.stage == domain.DECODE for s in states)
--- a/clementinewall/gateway/endpoints.py
+++ b/clementinewall/gateway/endpoints.py
@@ -1,124 +1,128 @@
-"""The endpoints as this gateway uses them: connections, work, caches."""
+"""This gateway's state for each endpoint: connections, work, cache."""
 
 from clementinewall import domain
-from clementinewall.gateway import cache
-from clementinewall.gateway import keepers
+from clementinewall.gateway import cache_holders
+from clementinewall.gateway import cache_view
 from clementinewall.gateway import peer_messages
 from clementinewall.http1 import client
 from clementinewall import logs
-from clementinewall.policy import reading_queue
-from clementinewall.policy import reading_scale
-from clementinewall.policy import speed
+from clementinewall.policy import endpoint_health
+from clementinewall.policy import prefill_queue
+from clementinewall.policy import prefill_scale
 
 _log = logs.PartLog("endpoint")
 
-# An endpoint without power answers nothing, and whoever waits for it loses
-# that time of its target.
+# A host that is down does not refuse connections; waiting for it uses up part
+# of the request's target time.
 CONNECT_TIMEOUT_MS = 200
-# With work open, an endpoint that says nothing for so long is taken for dead.
-SILENT_MS = 1_000
+# With open requests, an endpoint that sends nothing for so long counts as
+# unresponsive.
+RESPONSE_TIMEOUT_MS = 1_000
 
 
-class State:
-    """One life of an endpoint."""
+class EndpointState:
+    """The state of one incarnation of an endpoint."""
 
     def __init__(self, endpoint, now):
-        """Begin with no connection and no work."""
+        """Start without connections or work."""
         self.endpoint = endpoint
         self._now = now
-        self._quiet_since = None
+        self._last_response_at = None
         self.pool = client.Pool(endpoint.address, now, CONNECT_TIMEOUT_MS)
-        self.health = speed.Health()
+        self.health = endpoint_health.Health()
         self.open = 0
         self.streams = 0
         self.jobs = []
-        self.last_end = now()
+        self.last_prefill_end = now()
         self.load = None
         self.load_at = None
-        # Until when the engine changes its stage and takes no work.
-        self.away_until = 0
-        self.cache = cache.Cache()
+        # The engine takes no work until then because its stage changes.
+        self.unavailable_until = 0
+        self.cache = cache_view.CacheView()
 
     def begin(self):
-        """Count a request that is sent now."""
+        """Count a request as open."""
         if not self.open:
-            self._quiet_since = self._now()
+            self._last_response_at = self._now()
         self.open += 1
 
     def end(self):
         """Count the end of a request."""
         self.open -= 1
 
-    def heard(self):
-        """Note that the endpoint said something."""
-        self._quiet_since = self._now()
+    def record_response(self):
+        """Record that the endpoint sent data."""
+        self._last_response_at = self._now()
 
     def is_usable(self):
-        """Tell whether new work may go there."""
+        """Return whether new work may be sent to the endpoint."""
         now = self._now()
-        if now < self.away_until or self._is_silent():
+        if now < self.unavailable_until or self._is_timed_out():
             return False
         return self.health.is_usable(now)
 
-    def is_gone(self):
-        """Tell whether nothing that is sent there would be answered."""
-        return self._now() < self.away_until or self.is_lost()
+    def is_unavailable(self):
+        """Return whether requests to the endpoint would get no answer."""
+        return self._now() < self.unavailable_until or self.is_unresponsive()
 
-    def is_lost(self):
-        """Tell whether the endpoint doesn't answer at all.
+    def is_unresponsive(self):
+        """Return whether the endpoint answers no requests at all.
 
-        Silence alone doesn't tell: a single answer that got lost keeps a
-        request open while the endpoint answers all others.
+        A time-out alone is not enough: a single lost answer keeps a request
+        open while the endpoint answers all others.
         """
         now = self._now()
         if self.health.is_absent(now):
             return True
-        return self._is_silent() and not self.health.is_usable(now)
+        return self._is_timed_out() and not self.health.is_usable(now)
 
-    def _is_silent(self):
-        return bool(self.open) and self._now() - self._quiet_since > SILENT_MS
+    def _is_timed_out(self):
+        return (
+            bool(self.open)
+            and self._now() - self._last_response_at > RESPONSE_TIMEOUT_MS
+        )
 
     def begin_prompt(self, urgency, cost_ms):
-        """Note a prompt that is sent now; return it for its end."""
-        job = reading_queue.Job(urgency, cost_ms, self._now())
+        """Record a prompt sent now; return its job for ``end_prompt``."""
+        job = prefill_queue.Job(urgency, cost_ms, self._now())
         self.jobs.append(job)
         return job
 
     def end_prompt(self, job, was_read):
-        """Note that a prompt was answered or given up."""
+        """Record that a prompt was answered or abandoned."""
         self.jobs.remove(job)
         if was_read:
-            self.last_end = self._now()
+            self.last_prefill_end = self._now()
 
     def own_work(self):
         """Return this gateway's unfinished work."""
         return peer_messages.Work(
-            tuple(self.jobs), self.streams, self.last_end
+            tuple(self.jobs), self.streams, self.last_prefill_end
         )
 
 
 class Endpoints:
     """All endpoints, by id."""
 
-    def __init__(self, beliefs, now):
-        """Use what the beliefs say."""
-        self._beliefs = beliefs
+    def __init__(self, fleet_view, now):
+        """Use the endpoints of ``fleet_view``."""
+        self._fleet_view = fleet_view
         self._now = now
-        self._state_by_life = {}
-        self._read = []
-        self._changes = cache.Changes()
-        self.scales = reading_scale.Scales()
-        self.keepers = keepers.Keepers(now)
+        self._state_by_incarnation = {}
+        self._prefills = []
+        self._changes = cache_view.UnsentChanges()
+        self.scales = prefill_scale.PrefillScales()
+        self.cache_holders = cache_holders.CacheHolders(now)
 
     def state(self, endpoint):
-        """Return the state of this life of an endpoint."""
-        state = self._state_by_life.get(endpoint.life)
+        """Return the state of this incarnation of an endpoint."""
+        state = self._state_by_incarnation.get(endpoint.incarnation_key)
         if state is None:
-            state = State(endpoint, self._now)
-            self._state_by_life[endpoint.life] = state
+            state = EndpointState(endpoint, self._now)
+            self._state_by_incarnation[endpoint.incarnation_key] = state
         if state.endpoint.stage != endpoint.stage:
-            # What it refused in its stage before says nothing any more.
-            state.health = speed.Health()
+            # Failures in its previous stage do not apply to the new one.
+            state.health = endpoint_health.Health()
         state.endpoint = endpoint
         return state
 
@@ -126,90 +130,90 @@
         """Return the states of the endpoints that take new work."""
         return [
             self.state(endpoint)
-            for endpoint in self._beliefs.endpoint_by_id.values()
-            if endpoint.service == service and not endpoint.leaving
+            for endpoint in self._fleet_view.endpoint_by_id.values()
+            if endpoint.service == service and not endpoint.draining
         ]
 
     def find(self, endpoint_id):
         """Return the state of an endpoint that takes new work, or ``None``."""
-        endpoint = self._beliefs.endpoint_by_id.get(endpoint_id)
-        if endpoint is None or endpoint.leaving:
+        endpoint = self._fleet_view.endpoint_by_id.get(endpoint_id)
+        if endpoint is None or endpoint.draining:
             return None
         return self.state(endpoint)
 
     def is_current(self, state):
-        """Tell whether the endpoint still takes new work."""
-        known = self._beliefs.endpoint_by_id.get(state.endpoint.id)
+        """Return whether the endpoint still takes new work."""
+        known = self._fleet_view.endpoint_by_id.get(state.endpoint.id)
         return (
             known is not None
-            and known.life == state.endpoint.life
-            and not known.leaving
+            and known.incarnation_key == state.endpoint.incarnation_key
+            and not known.draining
         )
 
-    def learn_read(self, endpoint_id, parts):
-        """Note prompts that another gateway had read."""
-        endpoint = self._beliefs.endpoint_by_id.get(endpoint_id)
+    def apply_peer_prefill(self, endpoint_id, parts):
+        """Apply a prompt that an engine prefilled for another gateway."""
+        endpoint = self._fleet_view.endpoint_by_id.get(endpoint_id)
         if endpoint is not None:
             self.state(endpoint).cache.use(parts, self._capacity(endpoint))
-            self._changes.note_shared(parts)
-            self.keepers.hear(endpoint_id, parts)
+            self._changes.record_shared(parts)
+            self.cache_holders.record_peer(endpoint_id, parts)
 
-    def learn_kept(self, state, parts):
-        """Note parts that an engine says it keeps."""
+    def apply_cached_parts(self, state, parts):
+        """Apply parts that an engine reports as cached."""
         for part in parts:
             state.cache.put(part.id, part.tokens)
 
     def replace_cache(self, state, parts):
-        """Note that an engine keeps these parts only, for others too.
+        """Replace the view of an engine's cache; queue evictions for peers.
 
-        Return how many others it was believed to keep.
+        Return how many parts were assumed cached but are not.
         """
         dropped = state.cache.part_ids - {part.id for part in parts}
         for part_id in dropped:
-            change = cache.Change(state.endpoint.id, part_id, 0)
+            change = cache_view.Change(state.endpoint.id, part_id, 0)
             self._changes.take(state.cache, change)
-        self.learn_kept(state, parts)
+        self.apply_cached_parts(state, parts)
         return len(dropped)
 
-    def follow_cache(self, state, parts):
-        """Note changes that an engine tells of its cache, oldest first."""
-        tokens_by_part = {part.id: part.tokens for part in parts}
-        for part_id, tokens in tokens_by_part.items():
-            change = cache.Change(state.endpoint.id, part_id, tokens)
+    def apply_cache_changes(self, state, parts):
+        """Apply cache changes that an engine reports, oldest first."""
+        tokens_by_part_id = {part.id: part.tokens for part in parts}
+        for part_id, tokens in tokens_by_part_id.items():
+            change = cache_view.Change(state.endpoint.id, part_id, tokens)
             self._changes.take(state.cache, change)
 
-    def learn_changed(self, rows):
-        """Note changes of caches that another gateway follows.
+    def apply_peer_cache_changes(self, rows):
+        """Apply changes of caches that another gateway polls.
 
-        :raises TypeError, ValueError, OverflowError: it is no such message.
+        :raises TypeError, ValueError, OverflowError: if malformed.
         """
         for endpoint_id, part_id, tokens in rows:
             state = self.find(str(endpoint_id))
             if state is not None:
                 state.cache.put(str(part_id), max(0, int(tokens)))
 
-    def drain_changed(self):
-        """Return the changes of caches that others weren't told yet."""
+    def drain_cache_changes(self):
+        """Return and clear the cache changes not yet sent to peers."""
         return self._changes.drain()
 
-    def note_read(self, state, prompt):
-        """Note a prompt that was read for this gateway, to tell others."""
+    def record_prefill(self, state, prompt):
+        """Record a prefill for this gateway, and queue it for peers."""
         parts = [(part.id, part.tokens) for part in prompt.parts]
         state.cache.use(parts, self._capacity(state.endpoint))
-        # The last part belongs to this request alone.
+        # The last part is specific to this request.
         shared = parts[:-1]
-        self._changes.note_shared(shared)
-        self._read.append((state.endpoint.id, shared))
-        self.keepers.note(state.endpoint.id, shared)
+        self._changes.record_shared(shared)
+        self._prefills.append((state.endpoint.id, shared))
+        self.cache_holders.record(state.endpoint.id, shared)
 
-    def note_fetched(self, state, prompt):
-        """Note that an engine fetched the memory of a prompt and keeps it."""
+    def record_fetch(self, state, prompt):
+        """Record that an engine fetched the KV cache of a prompt."""
         parts = [(part.id, part.tokens) for part in prompt.parts]
         state.cache.use(parts, self._capacity(state.endpoint))
-        self._read.append((state.endpoint.id, parts[:-1]))
+        self._prefills.append((state.endpoint.id, parts[:-1]))
 
     def _capacity(self, endpoint):
-        configuration = self._beliefs.configuration
+        configuration = self._fleet_view.configuration
         service = configuration and configuration.service_by_name.get(
             endpoint.service
         )
@@ -217,51 +221,52 @@
             return 0
         return service.engine.kv_tokens
 
-    def away_by_endpoint(self):
-        """Return for how long engines that change their stage are away."""
+    def unavailable_ms_by_endpoint_id(self):
+        """Return for how many ms engines that change stage take no work."""
         now = self._now()
         return {
-            state.endpoint.id: state.away_until - now
-            for state in self._state_by_life.values()
-            if state.away_until > now
+            state.endpoint.id: state.unavailable_until - now
+            for state in self._state_by_incarnation.values()
+            if state.unavailable_until > now
         }
 
-    def learn_away(self, endpoint_id, ms):
-        """Note that an engine changes its stage."""
-        endpoint = self._beliefs.endpoint_by_id.get(endpoint_id)
+    def apply_unavailability(self, endpoint_id, ms):
+        """Record that an engine takes no work for ``ms``."""
+        endpoint = self._fleet_view.endpoint_by_id.get(endpoint_id)
         if endpoint is not None:
-            self.state(endpoint).away_until = self._now() + ms
+            self.state(endpoint).unavailable_until = self._now() + ms
 
-    def drain_read(self):
-        """Return what was read since the last time."""
-        read = self._read
-        self._read = []
+    def drain_prefills(self):
+        """Return and clear the prefills not yet sent to peers."""
+        read = self._prefills
+        self._prefills = []
         return read
 
-    def work_by_endpoint(self):
+    def work_by_endpoint_id(self):
         """Return this gateway's unfinished work at each engine."""
         work = {}
-        for state in self._state_by_life.values():
+        for state in self._state_by_incarnation.values():
             own = state.own_work()
             if own.streams or own.jobs:
                 work[state.endpoint.id] = own
         return work
 
     def sweep(self):
-        """Close what is left of endpoints that are gone, and old links."""
+        """Close the connections of removed endpoints, and idle ones."""
         current = {
-            endpoint.life for endpoint in self._beliefs.endpoint_by_id.values()
+            endpoint.incarnation_key
+            for endpoint in self._fleet_view.endpoint_by_id.values()
         }
-        for life, state in list(self._state_by_life.items()):
-            if life in current:
+        for incarnation, state in list(self._state_by_incarnation.items()):
+            if incarnation in current:
                 state.pool.prune()
                 continue
             state.pool.close()
             if not state.open:
-                del self._state_by_life[life]
-                _log.info("endpoint forgotten", endpoint=state.endpoint.id)
+                del self._state_by_incarnation[incarnation]
+                _log.info("endpoint state removed", endpoint=state.endpoint.id)
 
 
 def is_engine(state):
-    """Tell whether the endpoint is a model engine with a stage."""
+    """Return whether the endpoint is a model engine with a stage."""
     return state.endpoint.stage in (domain.PREFILL, domain.DECODE)
--- a/clementinewall/gateway/beliefs.py
+++ b/clementinewall/gateway/fleet_view.py
@@ -1,9 +1,9 @@
-"""What a gateway believes of the configuration and the endpoints.
+"""A gateway's view of the configuration and the endpoints.
 
-Records of the store are taken in by the offset at which they stand, so that
-a stale read, a repeated page or a restart of the reading changes nothing
-back.  Nothing here waits or calls anybody; the tasks of
-:mod:`clementinewall.gateway.following` bring the records.
+Records of the store are applied by offset, so that a stale read, a repeated
+page or a restarted follower never reverts newer state.  Nothing here performs
+I/O; the tasks of
+:mod:`clementinewall.gateway.topic_followers` supply the records.
 """
 
 from clementinewall import errors
@@ -12,38 +12,39 @@
 
 _log = logs.PartLog("belief")
 
-# While the store was away, endpoints could not renew their records, which
-# then lapsed.  Those that live are back within two seconds of its return
-# (the platform's figure); only who is missing after that has left.
+# Endpoints cannot renew their records during a store outage, so the records
+# expire.  Running endpoints re-register within two seconds of its recovery
+# (the platform's figure); those still missing after that are removed.
 LAPSE_GRACE_MS = 2_000
-# A gap between two reads from which on records may have lapsed meanwhile.
-# Endpoints write about every 1,200 ms and lapse after three such spans.
-OUTAGE_MS = 1_500
+# Records may have expired during an outage of at least this length.
+# Endpoints write about every 1,200 ms and expire after three missed writes.
+MIN_OUTAGE_MS = 1_500
 
 
-class Beliefs:
-    """The configuration in force and the endpoints, with their offsets."""
+class FleetView:
+    """The active configuration and the endpoints, with their offsets."""
 
     def __init__(self, now):
-        """Know nothing; ``now`` returns the time in ms."""
+        """Start empty; ``now`` returns the time in ms."""
         self._now = now
         self.configuration = None
         self.endpoint_by_id = {}
-        self.fleet_known = False
+        self.is_fleet_known = False
         self._configuration_offset = -1
         self._offset_by_id = {}
         self._lapse_end_by_id = {}
         self._grace_until = None
-        # Others that started lately may hold such a record for the newest.
-        self._kept_out = set()
+        # Endpoints with a rejected record of an earlier incarnation.  Gateways
+        # that started recently may take that record for the newest.
+        self._rejected_ids = set()
 
     @property
     def is_ready(self):
-        """Tell whether requests can be served by what is known."""
-        return self.configuration is not None and self.fleet_known
+        """Return whether enough is known to serve requests."""
+        return self.configuration is not None and self.is_fleet_known
 
-    def take_configuration(self, record):
-        """Take in a record of the operators' topic; return if it is new."""
+    def apply_configuration(self, record):
+        """Apply a record of the operators' topic; return whether it is new."""
         if record.key != records.CONFIGURATION_KEY or record.value is None:
             return False
         if record.offset <= self._configuration_offset:
@@ -52,7 +53,7 @@
             found = records.configuration(record.value)
         except errors.BadRecord as exc:
             _log.warning(
-                "unreadable configuration kept out",
+                "invalid configuration ignored",
                 offset=record.offset,
                 why=exc.message,
             )
@@ -60,7 +61,7 @@
         known = self.configuration
         if known is not None and found.version <= known.version:
             _log.warning(
-                "older configuration kept out",
+                "older configuration ignored",
                 offset=record.offset,
                 version=found.version,
                 in_force=known.version,
@@ -69,31 +70,31 @@
         self._configuration_offset = record.offset
         self.configuration = found
         _log.info(
-            "configuration in force",
+            "configuration active",
             version=found.version,
             offset=record.offset,
             routes=sum(len(r) for r in found.routes_by_host.values()),
         )
         return True
 
-    def take_endpoint(self, record):
-        """Take in a record of the endpoints' topic.
+    def apply_endpoint(self, record):
+        """Apply a record of the endpoints' topic.
 
-        Return whether others, who know all that came before it, have to be
-        told: not of a heartbeat that repeats what the last record said.
+        Return whether gateways that know all earlier records need this one;
+        a heartbeat that repeats the last record is not needed.
         """
         if record.offset <= self._offset_by_id.get(record.key, -1):
-            # It came with a later page already; others may not have that.
+            # Already covered by a later page, which others may not have read.
             return True
         self._offset_by_id[record.key] = record.offset
         if record.value is None:
-            self._removed(record.key, record.offset)
+            self._remove(record.key, record.offset)
             return True
         try:
             found = records.endpoint(record.key, record.value)
         except errors.BadRecord as exc:
             _log.warning(
-                "unreadable endpoint kept out",
+                "invalid endpoint record; endpoint dropped",
                 endpoint=record.key,
                 offset=record.offset,
                 why=exc.message,
@@ -102,20 +103,20 @@
             return True
         known = self.endpoint_by_id.get(record.key)
         lapsed = self._lapse_end_by_id.pop(record.key, None)
-        if known is not None and found.born < known.born:
+        if known is not None and found.incarnation < known.incarnation:
             _log.warning(
-                "record of an earlier life kept out",
+                "record of an earlier incarnation ignored",
                 endpoint=record.key,
                 offset=record.offset,
             )
-            self._kept_out.add(record.key)
+            self._rejected_ids.add(record.key)
             return True
-        is_news = (
+        is_update = (
             known != found
             or lapsed is not None
-            or record.key in self._kept_out
+            or record.key in self._rejected_ids
         )
-        self._kept_out.discard(record.key)
+        self._rejected_ids.discard(record.key)
         self.endpoint_by_id[record.key] = found
         if known != found:
             _log.info(
@@ -123,27 +124,27 @@
                 endpoint=found.id,
                 address=found.address,
                 stage=found.stage,
-                leaving=found.leaving,
-                born=found.born,
+                leaving=found.draining,
+                born=found.incarnation,
                 offset=record.offset,
             )
-        return is_news
+        return is_update
 
-    def take_whole_fleet(self, batch):
-        """Take in the newest record of each endpoint.
+    def apply_fleet_snapshot(self, batch):
+        """Apply the newest record of each endpoint.
 
-        An endpoint that isn't among them has left: its records, and that of
-        its leaving, have expired.
+        An endpoint that is not listed has been removed: its records,
+        including the removal, have expired.
         """
         listed = {record.key for record in batch.records}
         for record in batch.records:
-            self.take_endpoint(record)
+            self.apply_endpoint(record)
         for name in list(self.endpoint_by_id):
             if name not in listed:
-                self._removed(name, batch.end)
-        self.fleet_known = True
+                self._remove(name, batch.end)
+        self.is_fleet_known = True
 
-    def _removed(self, name, offset):
+    def _remove(self, name, offset):
         if name not in self.endpoint_by_id:
             return
         now = self._now()
@@ -151,7 +152,7 @@
             if name not in self._lapse_end_by_id:
                 self._lapse_end_by_id[name] = self._grace_until
                 _log.info(
-                    "endpoint lapsed while the store was away",
+                    "endpoint record expired during a store outage",
                     endpoint=name,
                     offset=offset,
                 )
@@ -163,14 +164,14 @@
         if self.endpoint_by_id.pop(name, None) is not None:
             _log.info(f"endpoint {why}", endpoint=name, offset=offset)
 
-    def store_returned(self, away_ms):
-        """Note that reading works again after ``away_ms`` without."""
-        if away_ms >= OUTAGE_MS:
+    def record_store_recovery(self, away_ms):
+        """Record that the store is readable after ``away_ms`` of outage."""
+        if away_ms >= MIN_OUTAGE_MS:
             self._grace_until = self._now() + LAPSE_GRACE_MS
 
     def expire(self):
-        """Drop the endpoints that lapsed and did not come back."""
+        """Drop endpoints that did not re-register within the grace period."""
         now = self._now()
         for name, end in list(self._lapse_end_by_id.items()):
             if now >= end:
-                self._forget(name, "missing after the store's return", None)
+                self._forget(name, "missing after the store recovered", None)
--- a/clementinewall/gateway/peer_messages.py
+++ b/clementinewall/gateway/peer_messages.py
@@ -1,12 +1,12 @@
-"""What gateways tell one another: types, and their form in a datagram.
+"""The messages between gateways: types, and their encoding in a datagram.
 
 A datagram is a compressed JSON object with any of these keys: ``state`` (the
-sender's unfinished work), ``read`` (shared parts of prompts that engines read
-or fetched for it), ``changed`` (parts that engines dropped or keep again),
-``marks`` (requests that crashed endpoints), ``signs`` (which gateways live),
-``kept`` (long beginnings of prompts that engines read for the sender) and
-``news`` (what was read of the store).  Times travel as ages, since clocks of
-two machines are never compared.
+sender's unfinished work), ``read`` (shared prompt parts that engines prefilled
+or fetched for it), ``changed`` (parts that engines evicted or cached again),
+``marks`` (crash records of requests), ``signs`` (heartbeats of gateways),
+``kept`` (long prompt prefixes that engines prefilled for the sender) and
+``news`` (updates read from the store).  Times are sent as ages, since clocks
+of two machines are never compared.
 """
 
 import json
@@ -14,55 +14,55 @@
 import zlib
 
 from clementinewall import clock
-from clementinewall.policy import reading_queue
-from clementinewall.policy import reading_scale
+from clementinewall.policy import prefill_queue
+from clementinewall.policy import prefill_scale
 
 
 class Work(typing.NamedTuple):
     """One gateway's unfinished work at one engine.
 
-    ``jobs`` are the prompts that wait or are read, ``streams`` the answers
-    that are being made, ``last_end`` is when a prompt was last answered.
+    ``jobs`` are the prompts that are queued or in prefill, ``streams`` counts
+    the answers in decode, ``last_prefill_end`` is when a prefill last ended.
     """
 
-    jobs: tuple[reading_queue.Job, ...]
+    jobs: tuple[prefill_queue.Job, ...]
     streams: int
-    last_end: float
+    last_prefill_end: float
 
 
-class Sign(typing.NamedTuple):
-    """That a gateway lived at ``heard_at``, and how callers reach it."""
+class Heartbeat(typing.NamedTuple):
+    """When a gateway was last known alive, and its address for callers."""
 
     ip: str
     callers: str
     data_centre: str
     ready: bool
-    heard_at: clock.Millis
+    received_at: clock.Millis
 
 
-class State(typing.NamedTuple):
-    """A gateway's sign of life, with its work and the engines it changes.
+class GatewayState(typing.NamedTuple):
+    """A gateway's heartbeat, with its work and the engines it reconfigures.
 
-    ``away_by_endpoint`` tells for how many ms engines that change their
-    stage take no work, ``estimate_by_service`` what the gateway learned of
-    how engines read.
+    ``unavailable_ms_by_endpoint_id`` is for how many ms engines that change
+    their stage take no work, ``estimate_by_service`` how the prefill time
+    that the gateway measured compares with the predicted one.
     """
 
-    sign: Sign
-    work_by_endpoint: dict[str, Work]
-    away_by_endpoint: dict[str, float]
-    estimate_by_service: dict[str, reading_scale.Estimate] = {}
+    heartbeat: Heartbeat
+    work_by_endpoint_id: dict[str, Work]
+    unavailable_ms_by_endpoint_id: dict[str, float]
+    estimate_by_service: dict[str, prefill_scale.Estimate] = {}
 
 
-# The fastest level.  Bytes between data centres are paid for.
+# The fastest level.  Compression pays since traffic between data centres is
+# charged by the byte.
 LEVEL = 1
-# What a message may have when it is read; it is bounded so that no datagram
-# can fill the memory.
+# The limit on a decompressed message, so that no datagram can exhaust memory.
 MAX_BYTES = 200_000
 
 
 def dump(message):
-    """Return the bytes of a message."""
+    """Return a message as compressed bytes."""
     raw = json.dumps(message, separators=(",", ":")).encode()
     return zlib.compress(raw, LEVEL)
 
@@ -70,64 +70,64 @@
 def load(raw):
     """Return the message in a datagram.
 
-    :raises ValueError: there is none.
+    :raises ValueError: if the datagram is malformed.
     """
     try:
         data = zlib.decompressobj().decompress(raw, MAX_BYTES)
     except zlib.error as exc:
-        raise ValueError(f"not compressed: {exc}") from exc
+        raise ValueError(f"datagram is not valid zlib data: {exc}") from exc
     return json.loads(data)
 
 
-def sign(value, now):
-    """Return a sign of life as plain data."""
-    return [*value[:4], now - value.heard_at]
+def encode_heartbeat(value, now):
+    """Return a heartbeat as plain data."""
+    return [*value[:4], now - value.received_at]
 
 
-def state(value, now):
+def encode_state(value, now):
     """Return a gateway's state as plain data."""
     return {
         "scales": {
             name: [round(number, 2) for number in estimate]
             for name, estimate in value.estimate_by_service.items()
         },
-        "sign": sign(value.sign, now),
-        "away": value.away_by_endpoint,
+        "sign": encode_heartbeat(value.heartbeat, now),
+        "away": value.unavailable_ms_by_endpoint_id,
         "work": {
             name: [
                 work.streams,
-                now - work.last_end,
+                now - work.last_prefill_end,
                 [
                     [job.urgency, round(job.cost_ms), now - job.sent_at]
                     for job in work.jobs
                 ],
             ]
-            for name, work in value.work_by_endpoint.items()
+            for name, work in value.work_by_endpoint_id.items()
         },
     }
 
 
-def decode_sign(row, now):
-    """Return the sign of life in a message.
+def decode_heartbeat(row, now):
+    """Return the heartbeat in a message.
 
-    :raises TypeError, ValueError: it is none.
+    :raises TypeError, ValueError: if the row is malformed.
     """
     ip, callers, data_centre, ready, age = row
-    heard_at = now - max(0, age)
-    return Sign(
-        str(ip), str(callers), str(data_centre), ready is True, heard_at
+    received_at = now - max(0, age)
+    return Heartbeat(
+        str(ip), str(callers), str(data_centre), ready is True, received_at
     )
 
 
 def decode_state(data, now):
     """Return the state in a message.
 
-    :raises AttributeError, KeyError, TypeError, ValueError: it is none.
+    :raises AttributeError, KeyError, TypeError, ValueError: if malformed.
     """
     work = {
         name: Work(
             tuple(
-                reading_queue.Job(urgency, cost_ms, now - age)
+                prefill_queue.Job(urgency, cost_ms, now - age)
                 for urgency, cost_ms, age in jobs
             ),
             streams,
@@ -136,8 +136,8 @@
         for name, (streams, end_age, jobs) in data["work"].items()
     }
     away = {str(name): ms + 0 for name, ms in data["away"].items()}
-    return State(
-        decode_sign(data["sign"], now),
+    return GatewayState(
+        decode_heartbeat(data["sign"], now),
         work,
         away,
         _estimates(data.get("scales")),
@@ -147,13 +147,13 @@
 def _estimates(rows):
     """Return the estimates in a message.
 
-    :raises AttributeError, TypeError, ValueError: they are none.
+    :raises AttributeError, TypeError, ValueError: if malformed.
     """
     found = {}
     for name, (log_scale, weight) in (rows or {}).items():
-        if not abs(log_scale) <= reading_scale.MOST:
+        if not abs(log_scale) <= prefill_scale.MAX_LOG_SCALE:
             raise ValueError(f"scale of {name}: {log_scale}")
-        if not 0 <= weight <= reading_scale.MOST_WEIGHT:
+        if not 0 <= weight <= prefill_scale.MAX_WEIGHT:
             raise ValueError(f"weight of {name}: {weight}")
-        found[str(name)] = reading_scale.Estimate(log_scale, weight)
+        found[str(name)] = prefill_scale.Estimate(log_scale, weight)
     return found
--- a/clementinewall/gateway/placing.py
+++ b/clementinewall/gateway/placing.py
@@ -1,4 +1,4 @@
-"""Choosing the engines for a request, from what this gateway knows now."""
+"""Chooses the engines for a request from this gateway's fleet view."""
 
 import random
 import typing
@@ -10,65 +10,70 @@
 from clementinewall import logs
 from clementinewall import metrics
 from clementinewall.policy import placement
-from clementinewall.policy import reading_queue
+from clementinewall.policy import prefill_queue
 
 _log = logs.PartLog("stream")
 
-NO_PROMPT = domain.Prompt("", 0, 0, ())
-# Returning callers are spread over half as much time again.
-RETRY_SPREAD = 0.5
-# Engines of other cells that are tried where those of the cell fail.
-HELPERS = 2
-# While all engines that decode are gone, one request in this time tries one.
-PROBE_MS = 500
-# An engine that failed or fell silent is used only if all others are worse.
+EMPTY_PROMPT = domain.Prompt("", 0, 0, ())
+# Refused callers retry after the advised delay plus up to this fraction of it,
+# so that they do not all return at once.
+RETRY_JITTER_FRACTION = 0.5
+# Per stage; used when more than half of the engines of the cell are unusable.
+MAX_OTHER_CELL_ENGINES = 2
+# While all decode engines are unreachable, one request per interval tries one.
+PROBE_INTERVAL_MS = 500
+# Makes an engine that failed or is unresponsive the last choice.
 UNUSABLE_SLOWNESS = 10.0
 
 
 class Plan(typing.NamedTuple):
-    """The engines chosen for one send; ``reader`` is set for a split.
+    """The engines chosen for one send of a request.
 
-    ``source`` is an engine from which the beginning of the prompt is fetched,
+    ``prefill_engine`` is set if prefill and decode run on separate engines.
+    ``source`` is the engine from which the prompt prefix is fetched,
     ``run_urgency`` the urgency at the engine that runs the request, and
-    ``reading_scale`` what the predicted reading was multiplied by.
+    ``prefill_scale`` the factor applied to the predicted prefill time.
     """
 
-    reader: endpoints_module.State | None
-    decoder: endpoints_module.State
-    way: placement.Way
+    prefill_engine: endpoints_module.EndpointState | None
+    decode_engine: endpoints_module.EndpointState
+    option: placement.Option
     urgency: int
-    source: endpoints_module.State | None = None
-    run_urgency: int = placement.PATIENT
-    reading_scale: float = 1.0
+    source: endpoints_module.EndpointState | None = None
+    run_urgency: int = placement.URGENCY_NORMAL
+    prefill_scale: float = 1.0
 
     @property
-    def shows_speed(self):
-        """Tell whether nothing but its engine's speed delays the reading."""
-        is_alone = not self.way.wait_ms and self.source is None
-        return is_alone and self.reader is not None
+    def measures_prefill_speed(self):
+        """Tell whether only the engine's speed determines the prefill time."""
+        is_alone = not self.option.wait_ms and self.source is None
+        return is_alone and self.prefill_engine is not None
 
     @property
-    def unscaled_ms(self):
-        """Return how long the reading takes by the prediction alone."""
-        return self.way.prompt_ms / self.reading_scale
+    def unscaled_prefill_ms(self):
+        """Return the predicted prefill time without the scale."""
+        return self.option.prompt_ms / self.prefill_scale
 
 
 class Placer:
-    """Places requests for models."""
+    """Chooses engines for model requests."""
 
-    def __init__(self, settings, endpoints, peers, membership, now):
-        """Use what is known of the engines and of the peers' work there."""
+    def __init__(self, settings, endpoints, peers, cell_membership, now):
+        """Use the known engines and the work that peers announced there."""
         self._link_mbps = settings.link_mbps
         self._endpoints = endpoints
         self._peers = peers
-        self._membership = membership
+        self._cell_membership = cell_membership
         self._now = now
         self._probed_at = None
 
     def place(self, exchange, last):
         """Choose the engines.
 
+        ``last`` is the failure of the previous send, ``None`` at the first.
+
         :raises Overloaded: the request cannot be served in time.
+        :raises ClementinewallError: no further send can serve the request.
         """
         peers = self._peers.table.states()
         demand = self._demand(exchange, peers)
@@ -80,26 +85,26 @@
         states = {
             state.endpoint.id: state
             for state in self._candidates(engines)
-            if state.endpoint.id not in exchange.tried
+            if state.endpoint.id not in exchange.tried_ids
         }
-        prompt = exchange.call.prompt or NO_PROMPT
+        prompt = exchange.call.prompt or EMPTY_PROMPT
         cached = max(
             (
-                s.cache.leading_tokens(prompt.parts[:-1])
+                s.cache.cached_prefix_tokens(prompt.parts[:-1])
                 for s in states.values()
             ),
             default=0,
         )
-        urgency = placement.urgency(demand, cached)
+        urgency = placement.prefill_urgency(demand, cached)
         known = [
-            self._engine(state, prompt, urgency, peers)
+            self._engine_view(state, prompt, urgency, peers)
             for state in states.values()
         ]
-        keeper = self._keeper(prompt, states)
-        chosen = placement.choose(known, demand, keeper)
-        self._note_probe(known, chosen)
+        holder = self._cache_holder(prompt, states)
+        chosen = placement.choose(known, demand, holder)
+        self._record_probe(known, chosen)
         if isinstance(chosen, placement.Refusal):
-            if last is None or not _may_come_late(chosen, exchange):
+            if last is None or not _is_worth_serving_late(chosen, exchange):
                 self._refuse(exchange, demand, chosen, last)
             chosen = chosen.best
         _log.info(
@@ -117,33 +122,33 @@
             tokens=demand.tokens,
             tokens_out=demand.tokens_out,
             left_ms=round(demand.left_ms),
-            scale=round(demand.reading_scale, 2),
+            scale=round(demand.prefill_scale, 2),
         )
-        reader = states.get(chosen.prefill)
+        prefill_engine = states.get(chosen.prefill)
         source = chosen.fetch and self._endpoints.find(chosen.fetch)
-        decoder = next(e for e in known if e.id == chosen.decode)
+        decode_view = next(e for e in known if e.id == chosen.decode)
         return Plan(
-            reader,
+            prefill_engine,
             states[chosen.decode],
             chosen,
             urgency,
             source,
-            placement.run_urgency(decoder, urgency),
-            demand.reading_scale,
+            placement.decode_urgency(decode_view, urgency),
+            demand.prefill_scale,
         )
 
     def _candidates(self, engines):
-        """Return the engines of the cell, and others where most of it fails.
+        """Return the engines of the cell, and others if most of these fail.
 
-        When many engines crash at once a cell may have none of a stage left
-        while those of other cells have room.  Nothing is known of the work
-        there, so some are drawn at random.
+        When many engines crash at once, a cell may have no usable engine of
+        a stage while other cells have headroom.  The work in other cells is
+        unknown here, so engines are drawn from them at random.
         """
-        close = self._membership.own_engines(engines)
+        close = self._cell_membership.cell_engines(engines)
         found = list(close)
         for stage in domain.STAGES:
-            own = [s for s in close if s.endpoint.stage == stage]
-            if sum(s.is_usable() for s in own) * 2 >= len(own):
+            in_cell = [s for s in close if s.endpoint.stage == stage]
+            if sum(s.is_usable() for s in in_cell) * 2 >= len(in_cell):
                 continue
             others = [
                 state
@@ -152,21 +157,23 @@
                 and state not in close
                 and state.is_usable()
             ]
-            found += random.sample(others, min(HELPERS, len(others)))
+            found += random.sample(
+                others, min(MAX_OTHER_CELL_ENGINES, len(others))
+            )
         return found
 
-    def _keeper(self, prompt, states):
-        """Return an engine outside the cell that keeps the beginning."""
-        keeper = self._endpoints.keepers.find(prompt.parts[:-1])
-        if keeper is None or keeper.endpoint_id in states:
+    def _cache_holder(self, prompt, states):
+        """Return a cache holder of the prompt prefix outside the cell."""
+        holder = self._endpoints.cache_holders.find(prompt.parts[:-1])
+        if holder is None or holder.endpoint_id in states:
             return None
-        state = self._endpoints.find(keeper.endpoint_id)
+        state = self._endpoints.find(holder.endpoint_id)
         if state is None or not state.is_usable():
             return None
-        return placement.Source(keeper.endpoint_id, keeper.tokens)
+        return placement.CacheHolder(holder.endpoint_id, holder.tokens)
 
     def _demand(self, exchange, peers):
-        prompt = exchange.call.prompt or NO_PROMPT
+        prompt = exchange.call.prompt or EMPTY_PROMPT
         limits = exchange.service.engine
         return placement.Demand(
             tokens=prompt.tokens_in,
@@ -175,9 +182,9 @@
             token_bytes=limits.kv_token_bytes,
             link_mbps=limits.link_mbps,
             tokens_out=prompt.tokens_out,
-            send_ms=self._send_ms(exchange.call.body),
+            send_ms=self._transfer_ms(exchange.call.body),
             is_probe=self._may_probe(),
-            reading_scale=self._endpoints.scales.scale(
+            prefill_scale=self._endpoints.scales.scale(
                 exchange.service.name,
                 [peer.estimate_by_service for peer in peers],
             ),
@@ -186,44 +193,49 @@
     def _may_probe(self):
         return (
             self._probed_at is None
-            or self._now() - self._probed_at >= PROBE_MS
+            or self._now() - self._probed_at >= PROBE_INTERVAL_MS
         )
 
-    def _note_probe(self, known, chosen):
-        """Note if a request tries an engine that is gone."""
-        gone = {engine.id for engine in known if engine.gone}
-        if isinstance(chosen, placement.Way) and chosen.decode in gone:
+    def _record_probe(self, known, chosen):
+        """Record the time if the request probes an unreachable engine."""
+        unreachable = {engine.id for engine in known if engine.unreachable}
+        if (
+            isinstance(chosen, placement.Option)
+            and chosen.decode in unreachable
+        ):
             self._probed_at = self._now()
 
-    def _send_ms(self, body):
-        """Return how long this instance's link takes for a body."""
+    def _transfer_ms(self, body):
+        """Return the time to send ``body`` over this instance's link."""
         if not self._link_mbps:
             return 0.0
         return len(body) * 8 / (self._link_mbps * 1_000)
 
-    def _engine(self, state, prompt, urgency, peers):
+    def _engine_view(self, state, prompt, urgency, peers):
         endpoint = state.endpoint
         jobs = list(state.jobs)
         streams = state.streams
-        last_end = state.last_end
+        last_prefill_end = state.last_prefill_end
         for peer in peers:
-            work = peer.work_by_endpoint.get(endpoint.id)
+            work = peer.work_by_endpoint_id.get(endpoint.id)
             if work is not None:
                 jobs.extend(work.jobs)
                 streams += work.streams
-                last_end = max(last_end, work.last_end)
-        waiting = reading_queue.wait_ms(jobs, last_end, self._now(), urgency)
+                last_prefill_end = max(last_prefill_end, work.last_prefill_end)
+        wait_ms = prefill_queue.wait_ms(
+            jobs, last_prefill_end, self._now(), urgency
+        )
         return placement.Engine(
             id=endpoint.id,
             prefill=endpoint.stage == domain.PREFILL,
-            wait_ms=waiting,
+            wait_ms=wait_ms,
             streams=streams,
             slots=max(1, endpoint.slots),
-            cached=state.cache.leading_tokens(prompt.parts[:-1]),
+            cached=state.cache.cached_prefix_tokens(prompt.parts[:-1]),
             slowness=state.health.slowness
             if state.is_usable()
             else UNUSABLE_SLOWNESS,
-            gone=state.is_gone(),
+            unreachable=state.is_unavailable(),
         )
 
     def _refuse(self, exchange, demand, refusal, last):
@@ -241,17 +253,17 @@
         metrics.count("refused", route=exchange.route.name)
         if last is not None:
             raise exchanges.final_error(exchange, last.why)
-        spread = 1 + RETRY_SPREAD * random.random()
+        jitter = 1 + RETRY_JITTER_FRACTION * random.random()
         raise errors.Overloaded(
-            refusal.why, retry_after_ms=refusal.retry_ms * spread
+            refusal.why, retry_after_ms=refusal.retry_ms * jitter
         )
 
 
-def _may_come_late(refusal, exchange):
-    """Tell whether a further send is worth it although it comes late.
+def _is_worth_serving_late(refusal, exchange):
+    """Tell whether to send again although the first event misses its target.
 
-    What was begun has cost an engine's time already, and a stream that stops
-    midway is worth less to its caller than one that pauses.
+    The earlier send has already cost engine time, and a stream that breaks
+    off is worth less to its caller than one that pauses.
     """
     best = refusal.best
     return best is not None and best.first_ms < exchange.left_ms
--- a/clementinewall/gateway/plain.py
+++ b/clementinewall/gateway/plain_relay.py
@@ -1,4 +1,4 @@
-"""Calls to plain services."""
+"""Relays calls to plain services, which are not model engines."""
 
 import anyio
 
@@ -11,19 +11,19 @@
 
 _log = logs.PartLog("plain")
 
-# The first send of a call that may be repeated gets this part of the time,
-# so that an endpoint that hangs leaves time for another.
-FIRST_PART = 0.5
-# What being in this data centre weighs, in waiting or running calls.
-NEAR_WORTH = 0.2
+# A send of an idempotent call that may be repeated gets this fraction of the
+# time left, so that an endpoint that hangs leaves time for another.
+SEND_TIMEOUT_FRACTION = 0.5
+# Added to the load of an endpoint in another data centre.
+REMOTE_PENALTY_CALLS = 0.2
 
 
 class PlainRelay:
-    """Carries calls to the endpoints of a service and the answers back."""
+    """Sends calls to the endpoints of a service and returns the answers."""
 
-    def __init__(self, settings, endpoints, budgets, guard, now):
-        """Use the gateway's parts."""
-        self._guard = guard
+    def __init__(self, settings, endpoints, budgets, crash_guard, now):
+        """Use the gateway's shared components; ``now`` returns ms."""
+        self._crash_guard = crash_guard
         self._settings = settings
         self._endpoints = endpoints
         self._budgets = budgets
@@ -32,14 +32,14 @@
     async def run(self, exchange):
         """Answer the call.
 
-        :raises ClementinewallError: it could not be answered.
+        :raises ClementinewallError: no endpoint answered the call.
         """
         last = None
         while True:
-            state = self._pick(exchange)
+            state = self._choose_endpoint(exchange)
             if state is None:
                 break
-            spent = 1 if exchange.arrivals else 0
+            spent = 1 if exchange.reached_sends else 0
             if spent and not self._budgets.spend(
                 exchange.service, spent, "send again"
             ):
@@ -52,51 +52,56 @@
             except exchanges.AttemptFailed as exc:
                 last = exc
                 if spent and not exc.reached:
-                    self._budgets.give_back(exchange.service, spent)
-                self._note_failure(exchange, state, exc)
-                if not exchange.may_send_again():
+                    self._budgets.refund(exchange.service, spent)
+                self._record_failure(exchange, state, exc)
+                if not exchange.may_retry():
                     break
                 continue
-            state.health.worked()
-            self._guard.note_answer(exchange.call)
-            await exchange.connection.answer(calls.forwarded(head), body)
+            state.health.record_success()
+            self._crash_guard.record_answer(exchange.call)
+            await exchange.connection.answer(calls.forwarded_head(head), body)
             return
         if last is not None and last.answer is not None:
             head, body = last.answer
-            await exchange.connection.answer(calls.forwarded(head), body)
+            await exchange.connection.answer(calls.forwarded_head(head), body)
             return
-        why = last.why if last else "no endpoint takes work"
+        why = last.why if last else "no endpoint of the service is available"
         raise exchanges.final_error(exchange, why)
 
-    def _pick(self, exchange):
+    def _choose_endpoint(self, exchange):
         states = [
             state
             for state in self._endpoints.of_service(exchange.service.name)
-            if state.endpoint.id not in exchange.tried
+            if state.endpoint.id not in exchange.tried_ids
         ]
         usable = [s for s in states if s.is_usable()] or states
         if not usable:
             return None
-        return min(usable, key=self._weight)
+        return min(usable, key=self._load_key)
 
-    def _weight(self, state):
-        here = state.endpoint.data_centre == self._settings.data_centre
-        told = 0
+    def _load_key(self, state):
+        is_local = state.endpoint.data_centre == self._settings.data_centre
+        # A reported load is used for 500 ms.
+        reported = 0
         if state.load is not None and self._now() - state.load_at < 500:
-            told = max(0, state.load.running + state.load.waiting)
-        busy = max(state.open, told)
-        return busy + (0 if here else NEAR_WORTH), state.endpoint.id
+            reported = max(0, state.load.running + state.load.waiting)
+        open_calls = max(state.open, reported)
+        return open_calls + (
+            0 if is_local else REMOTE_PENALTY_CALLS
+        ), state.endpoint.id
 
     async def _attempt(self, exchange, state):
         exchange.sends += 1
-        exchange.tried.add(state.endpoint.id)
+        exchange.tried_ids.add(state.endpoint.id)
         left_ms = exchange.left_ms
         is_last = not (
             exchange.route.idempotent
-            and exchange.arrivals < exchange.route.max_attempts
+            and exchange.reached_sends < exchange.route.max_attempts
+        )
+        # The last send may use all the time of the request.
+        limit = (
+            None if is_last else clock.seconds(left_ms * SEND_TIMEOUT_FRACTION)
         )
-        # The last send ends with the request itself.
-        limit = None if is_last else clock.seconds(left_ms * FIRST_PART)
         _log.info(
             "sent",
             request=exchange.call.attempt,
@@ -104,7 +109,7 @@
             open=state.open,
             left_ms=left_ms,
         )
-        request = calls.run(exchange.call, state.endpoint, left_ms)
+        request = calls.run_request(exchange.call, state.endpoint, left_ms)
         try:
             with anyio.fail_after(limit):
                 async with sending.send(
@@ -117,24 +122,26 @@
                 f"no answer in {limit:.3f} s",
                 state.endpoint.id,
             ) from exc
-        return self._checked(exchange, sent, body)
+        return self._checked_answer(exchange, sent, body)
 
-    def _checked(self, exchange, sent, body):
+    def _checked_answer(self, exchange, sent, body):
         head = sent.head
-        if head.status < 400 and not calls.is_whole_success(head):
-            raise sent.failed("a success without the endpoint's stamp")
+        if head.status < 400 and not calls.is_complete_success(head):
+            raise sent.failure(
+                "success response without the endpoint's Server-Stamp"
+            )
         answer = head, body
         if head.status >= 500 and exchange.route.idempotent:
-            raise sent.failed(
+            raise sent.failure(
                 f"status {head.status}", verdicts.Verdict.RAN, answer
             )
         return answer
 
-    def _note_failure(self, exchange, state, exc):
-        exchange.note(exc)
+    def _record_failure(self, exchange, state, exc):
+        exchange.record_failure(exc)
         if exc.answer is None:
-            state.health.failed(self._now(), exc.absent)
-        self._guard.note_failure(exchange.call, state, exc, True)
+            state.health.record_failure(self._now(), exc.absent)
+        self._crash_guard.record_failure(exchange.call, state, exc, True)
         _log.info(
             "attempt failed",
             request=exchange.call.attempt,
--- a/clementinewall/gateway/sending.py
+++ b/clementinewall/gateway/sending.py
@@ -1,4 +1,4 @@
-"""One send of a request to one endpoint, up to the head of its answer."""
+"""Sends a request to one endpoint and reads the head of the answer."""
 
 import contextlib
 
@@ -10,87 +10,93 @@
 
 _log = logs.PartLog("send")
 
-ANSWER_LIMIT = 8_000_000
+MAX_ANSWER_BYTES = 8_000_000
 
 
-class Sent:
-    """A request that was sent; its answer is read from ``link``."""
+class SentRequest:
+    """A request that was sent; ``link`` is at the body of its answer."""
 
     def __init__(self, state, link, head):
-        """Keep the link and the head of the answer."""
+        """Take the link and the head of the answer read from it."""
         self.state = state
         self.link = link
         self.head = head
-        self.is_over = False
+        self.is_complete = False
 
     async def read_all(self):
-        """Return the rest of the answer.
+        """Return the rest of the body.
 
-        :raises AttemptFailed: it broke off.
+        :raises AttemptFailed: the connection broke before its end.
         """
         try:
-            body = await self.link.read_rest(ANSWER_LIMIT)
+            body = await self.link.read_rest(MAX_ANSWER_BYTES)
         except client.LinkBroken as exc:
-            raise self.failed(exc.why, broken=True) from exc
-        self.is_over = True
+            raise self.failure(exc.why, broken=True) from exc
+        self.is_complete = True
         return body
 
-    async def read_part(self, silence_ms=None):
-        """Return the next part of the answer, ``None`` at its whole end.
+    async def read_part(self, silence_timeout_ms=None):
+        """Return the next bytes of the body, ``None`` at its regular end.
 
-        :raises AttemptFailed: it broke off, or nothing came for so long.
+        :raises AttemptFailed: the connection broke, or nothing arrived for
+            ``silence_timeout_ms``.
         """
         try:
-            part = await self.link.read_part(silence_ms)
+            part = await self.link.read_part(silence_timeout_ms)
         except client.LinkBroken as exc:
-            raise self.failed(exc.why, broken=True) from exc
+            raise self.failure(exc.why, broken=True) from exc
         except TimeoutError as exc:
-            raise self.failed(f"silent for {silence_ms:.0f} ms") from exc
-        self.state.heard()
-        self.is_over = part is None
+            raise self.failure(
+                f"silent for {silence_timeout_ms:.0f} ms"
+            ) from exc
+        self.state.record_response()
+        self.is_complete = part is None
         return part
 
-    def failed(
+    def failure(
         self,
         why,
         verdict=verdicts.Verdict.MAY_HAVE_RUN,
         answer=None,
         broken=False,
     ):
-        """Return the error for an answer that can't be used."""
+        """Return the error for an answer that cannot be used."""
         return exchanges.AttemptFailed(
             verdict, why, self.state.endpoint.id, answer, broken
         )
 
 
 @contextlib.asynccontextmanager
-async def send(call, state, request, now, silence_ms=None):
-    """Send and wait for the head; close the link unless the answer ended.
+async def send(call, state, request, now, silence_timeout_ms=None):
+    """Send ``request``, wait for the head and yield a :class:`SentRequest`.
 
-    Without a head within ``silence_ms`` the attempt counts as failed.
+    The link goes back to the pool only if the answer was read to its end;
+    otherwise it is closed.
 
-    :raises AttemptFailed: with what is known of whether it ran.
+    :raises AttemptFailed: the connection failed, no head arrived within
+        ``silence_timeout_ms``, or the endpoint refused; its verdict says
+        whether the request may have run.
     """
     link = None
     sent = None
     state.begin()
     try:
-        link = await state.pool.take()
+        link = await state.pool.acquire()
         try:
-            await link.send(request, silence_ms)
-            head = await _own_head(call, link, silence_ms)
+            await link.send(request, silence_timeout_ms)
+            head = await _matching_head(call, link, silence_timeout_ms)
         except TimeoutError as exc:
             raise exchanges.AttemptFailed(
                 verdicts.verdict_of(link.progress),
-                f"silent for {silence_ms:.0f} ms",
+                f"silent for {silence_timeout_ms:.0f} ms",
                 state.endpoint.id,
             ) from exc
-        state.heard()
-        sent = Sent(state, link, head)
-        _note_load(state, head, now())
-        if calls.says_not_run(head):
+        state.record_response()
+        sent = SentRequest(state, link, head)
+        _record_load(state, head, now())
+        if calls.reports_not_run(head):
             await sent.read_all()
-            failure = sent.failed(
+            failure = sent.failure(
                 f"refused with {head.status}", verdicts.Verdict.NOT_RUN
             )
             failure.absent = calls.is_misdirected(head)
@@ -109,37 +115,37 @@
     finally:
         state.end()
         if link is not None:
-            _put_away(state, link, sent)
+            _release_link(state, link, sent)
 
 
-async def _own_head(call, link, silence_ms):
+async def _matching_head(call, link, silence_timeout_ms):
     """Return the head of the answer to this call.
 
-    An endpoint may send a second answer to an earlier request late; handing
-    it on would give one caller the answer of another.
+    An endpoint may send a late second answer to an earlier request.
+    Forwarding it would give one caller the answer of another.
     """
-    head = await link.read_head(silence_ms)
+    head = await link.read_head(silence_timeout_ms)
     while not calls.is_answer_to(head, call):
         _log.warning(
-            "answer to another request dropped",
+            "dropped an answer to another request on this connection",
             request=call.attempt,
             status=head.status,
         )
-        await link.read_rest(ANSWER_LIMIT)
+        await link.read_rest(MAX_ANSWER_BYTES)
         link.expect_another()
-        head = await link.read_head(silence_ms)
+        head = await link.read_head(silence_timeout_ms)
     return head
 
 
-def _note_load(state, head, now):
-    load = calls.load(head)
+def _record_load(state, head, now):
+    load = calls.decode_load(head)
     if load is not None:
         state.load = load
         state.load_at = now
 
 
-def _put_away(state, link, sent):
-    if sent is not None and sent.is_over:
-        state.pool.give_back(link)
+def _release_link(state, link, sent):
+    if sent is not None and sent.is_complete:
+        state.pool.release(link)
     else:
-        state.pool.drop(link)
+        state.pool.discard(link)
--- /dev/null
+++ b/clementinewall/gateway/stream_relay.py
@@ -0,0 +1,365 @@
+"""Relays model requests: placement, prefill, streaming and resumption."""
+
+import anyio
+
+from clementinewall import clock
+from clementinewall import domain
+from clementinewall import errors
+from clementinewall.gateway import exchange as exchanges
+from clementinewall.gateway import sending
+from clementinewall.gateway import stream_answer
+from clementinewall.http1 import client
+from clementinewall import logs
+from clementinewall import metrics
+from clementinewall.platform import calls
+from clementinewall.policy import engine_time
+from clementinewall import verdicts
+
+_log = logs.PartLog("stream")
+
+FREE_TIMEOUT_MS = 1_000
+# A prefill that exceeds this multiple of its predicted time plus the slack is
+# done on another engine.  A prefill does not run the request, so repeating it
+# is always allowed.
+PREFILL_TIMEOUT_FACTOR = 3.0
+PREFILL_SLACK_MS = 500
+# A second prefill and a second send of the request.
+PREFILL_RETRY_SENDS = 2
+# Callers give up a stream after a pause of 2,000 ms or more.  Half of that is
+# left for another engine to prefill the prompt again.
+MIN_SILENCE_TIMEOUT_MS = 1_000
+# In gaps between events as the route's target allows them.
+SILENCE_TIMEOUT_GAPS = 4
+
+
+class StreamRelay:
+    """Relays streams from the engines of a service to callers."""
+
+    def __init__(
+        self,
+        endpoints,
+        placer,
+        announce_prompt,
+        budgets,
+        crash_guard,
+        drain,
+        group,
+        now,
+    ):
+        """Use the gateway's shared components.
+
+        ``announce_prompt`` sends a new prompt to the peers; ``group`` is the
+        task group for work that outlives a request.
+        """
+        self._drain = drain
+        self._endpoints = endpoints
+        self._placer = placer
+        self._announce_prompt = announce_prompt
+        self._budgets = budgets
+        self._crash_guard = crash_guard
+        self._group = group
+        self._now = now
+
+    async def run(self, exchange):
+        """Answer the request.
+
+        :raises ClementinewallError: no engine answered the request.
+        """
+        stream = stream_answer.StreamAnswer(exchange)
+        last = None
+        while True:
+            plan = self._placer.place(exchange, last)
+            self._drain.check_stream(exchange, plan.option.first_ms)
+            spent = _budgeted_sends(exchange, plan)
+            if spent and not self._budgets.spend(
+                exchange.service, spent, _retry_reason(exchange)
+            ):
+                _log.info(
+                    "no budget", request=exchange.call.attempt, sends=spent
+                )
+                break
+            try:
+                await self._run_plan(exchange, stream, plan)
+            except exchanges.AttemptFailed as exc:
+                last = exc
+                unused = _refundable_sends(plan, spent, exc)
+                if unused:
+                    self._budgets.refund(exchange.service, unused)
+                self._record_failure(exchange, exc, not stream.has_first_event)
+                if not exchange.may_retry():
+                    break
+                continue
+            if exchange.first_event_ms is not None:
+                self._drain.record_stream(exchange, exchange.first_event_ms)
+            return
+        if last.answer is not None and not stream.head_sent:
+            head, body = last.answer
+            await exchange.connection.answer(calls.forwarded_head(head), body)
+            return
+        raise exchanges.final_error(exchange, last.why)
+
+    async def _run_plan(self, exchange, stream, plan):
+        prefilled = None
+        if plan.prefill_engine is not None:
+            prefilled = await self._prefill(exchange, plan)
+            self._check_drain(exchange, plan, prefilled)
+        exchange.sends += 1
+        decode_engine = plan.decode_engine
+        if not self._endpoints.is_current(decode_engine):
+            # It started draining during the prefill on another engine, and
+            # must get no new work.
+            if prefilled is not None:
+                self._group.start_soon(
+                    self._free_handle, plan.prefill_engine, prefilled
+                )
+            raise exchanges.AttemptFailed(
+                verdicts.Verdict.NOT_RUN,
+                "the engine is draining",
+                decode_engine.endpoint.id,
+                reached=False,
+            )
+        exchange.tried_ids.add(decode_engine.endpoint.id)
+        request = calls.run_request(
+            exchange.call,
+            decode_engine.endpoint,
+            exchange.left_ms,
+            stream.events.last_position,
+            prefilled,
+            plan.run_urgency,
+            None if prefilled else _source(plan),
+        )
+        decode_engine.streams += 1
+        job = None
+        if not prefilled:
+            job = decode_engine.begin_prompt(
+                plan.run_urgency, plan.option.prompt_ms
+            )
+            self._announce_prompt(job)
+        stream.begin(lambda: self._on_first_event(exchange, plan, job))
+        is_accepted = False
+        silence_timeout_ms = self._silence_timeout_ms(exchange, plan)
+        try:
+            async with sending.send(
+                exchange.call,
+                decode_engine,
+                request,
+                self._now,
+                silence_timeout_ms,
+            ) as sent:
+                is_accepted = True
+                await stream.forward(sent, silence_timeout_ms)
+        finally:
+            decode_engine.streams -= 1
+            if job is not None and not stream.has_first_event:
+                decode_engine.end_prompt(job, False)
+            if prefilled is not None and not is_accepted:
+                self._group.start_soon(
+                    self._free_handle, plan.prefill_engine, prefilled
+                )
+        decode_engine.health.record_success()
+
+    def _check_drain(self, exchange, plan, prefilled):
+        """Refuse a stream that cannot end before the process stops.
+
+        The drain may have begun during the prefill.
+
+        :raises Leaving: it cannot be finished here.
+        """
+        try:
+            self._drain.check_stream(exchange, 0)
+        except errors.Draining:
+            self._group.start_soon(
+                self._free_handle, plan.prefill_engine, prefilled
+            )
+            raise
+
+    def _silence_timeout_ms(self, exchange, plan):
+        """Return how long the engine may send nothing, or ``None``.
+
+        If the request cannot be sent again, a late answer is better than
+        none, so there is no timeout.
+        """
+        route = exchange.route
+        if (
+            not route.idempotent
+            or exchange.reached_sends >= route.max_attempts
+        ):
+            return None
+        if not self._budgets.can_spend(exchange.service, PREFILL_RETRY_SENDS):
+            return None
+        others = [
+            state
+            for state in self._endpoints.of_service(exchange.service.name)
+            if state.endpoint.id not in exchange.tried_ids
+            and state.endpoint.stage == domain.DECODE
+        ]
+        if not others:
+            return None
+        expected_ms = plan.option.first_ms * PREFILL_TIMEOUT_FACTOR
+        gaps_ms = SILENCE_TIMEOUT_GAPS * route.gap_goal_ms
+        return max(MIN_SILENCE_TIMEOUT_MS, expected_ms, gaps_ms)
+
+    def _on_first_event(self, exchange, plan, job):
+        if job is not None:
+            plan.decode_engine.end_prompt(job, True)
+        if exchange.call.prompt:
+            note = self._endpoints.record_prefill
+            if job is None:
+                note = self._endpoints.record_fetch
+            note(plan.decode_engine, exchange.call.prompt)
+        took = exchange.waited_ms
+        if exchange.first_event_ms is None:
+            exchange.first_event_ms = took
+        metrics.observe_ms("first_event", took, route=exchange.route.name)
+        _log.info(
+            "first event",
+            request=exchange.call.attempt,
+            took_ms=took,
+            predicted_ms=round(plan.option.first_ms),
+        )
+
+    def _prefill_silence_timeout_ms(self, exchange, plan):
+        """Return how long a prefill engine may send nothing, or ``None``.
+
+        Without budget to repeat the prefill elsewhere, giving it up would
+        only waste it, so there is no timeout.
+        """
+        if not self._budgets.can_spend(exchange.service, PREFILL_RETRY_SENDS):
+            return None
+        expected_ms = plan.option.wait_ms + plan.option.prompt_ms
+        return PREFILL_TIMEOUT_FACTOR * expected_ms + PREFILL_SLACK_MS
+
+    async def _prefill(self, exchange, plan):
+        prefill_engine = plan.prefill_engine
+        prompt_ms = plan.option.prompt_ms
+        request = calls.prefill_request(
+            exchange.call,
+            prefill_engine.endpoint,
+            exchange.left_ms,
+            plan.urgency,
+            _source(plan),
+        )
+        started = self._now()
+        job = prefill_engine.begin_prompt(plan.urgency, prompt_ms)
+        is_prefilled = False
+        self._announce_prompt(job)
+        silence_timeout_ms = self._prefill_silence_timeout_ms(exchange, plan)
+        try:
+            async with sending.send(
+                exchange.call,
+                prefill_engine,
+                request,
+                self._now,
+                silence_timeout_ms,
+            ) as sent:
+                body = await sent.read_all()
+            is_prefilled = True
+            exchange.prefills += 1
+        except exchanges.AttemptFailed as exc:
+            # Only the prefill was tried, so the request itself has not run.
+            exchange.sends += 1
+            if exc.reached and exc.verdict is not verdicts.Verdict.NOT_RUN:
+                exchange.prefills += 1
+            exchange.tried_ids.add(prefill_engine.endpoint.id)
+            exc.verdict = verdicts.Verdict.NOT_RUN
+            raise
+        finally:
+            prefill_engine.end_prompt(job, is_prefilled)
+        try:
+            prefilled = calls.decode_prefill_answer(
+                prefill_engine.endpoint, body
+            )
+        except errors.BadRecord as exc:
+            exchange.sends += 1
+            raise exchanges.AttemptFailed(
+                verdicts.Verdict.NOT_RUN,
+                exc.message,
+                prefill_engine.endpoint.id,
+            ) from exc
+        prefill_engine.health.record_success()
+        took_ms = self._now() - started
+        self._endpoints.record_prefill(prefill_engine, exchange.call.prompt)
+        if plan.measures_prefill_speed:
+            self._endpoints.scales.record(
+                exchange.service.name,
+                took_ms - engine_time.PREFILL_ANSWER_MS,
+                plan.unscaled_prefill_ms,
+            )
+        _log.info(
+            "prompt read",
+            request=exchange.call.attempt,
+            engine=prefill_engine.endpoint.id,
+            took_ms=took_ms,
+            wait_ms=round(plan.option.wait_ms),
+            prompt_ms=round(prompt_ms),
+            urgency=plan.urgency,
+        )
+        return prefilled
+
+    async def _free_handle(self, prefill_engine, prefilled):
+        request = calls.free_request(prefilled.handle)
+        with anyio.move_on_after(clock.seconds(FREE_TIMEOUT_MS)):
+            try:
+                await prefill_engine.pool.send_request(
+                    request, sending.MAX_ANSWER_BYTES
+                )
+            except client.LinkBroken as exc:
+                _log.info(
+                    "prefill handle not freed; the engine did not answer",
+                    why=exc.why,
+                )
+
+    def _record_failure(self, exchange, exc, before_first):
+        exchange.record_failure(exc)
+        for state in self._endpoints.of_service(exchange.service.name):
+            if state.endpoint.id == exc.endpoint_id and exc.answer is None:
+                state.health.record_failure(self._now(), exc.absent)
+                self._crash_guard.record_failure(
+                    exchange.call, state, exc, before_first
+                )
+        _log.info(
+            "attempt failed",
+            request=exchange.call.attempt,
+            endpoint=exc.endpoint_id,
+            verdict=exc.verdict.value,
+            why=exc.why,
+        )
+
+
+def _budgeted_sends(exchange, plan):
+    """Return how many sends of a plan draw on the retry budget.
+
+    Only the first prefill of a request is free.  A retry with a prefill
+    reaches two engines: counted as one send, retries exceeded the
+    deployment's bound when decode engines were replaced under load.
+    """
+    sends = 0
+    if exchange.reached_sends:
+        sends += 1
+    if exchange.prefills and plan.prefill_engine is not None:
+        sends += 1
+    return sends
+
+
+def _refundable_sends(plan, spent, failure):
+    """Return how many of the budgeted sends reached no engine."""
+    reached = 1 if failure.reached else 0
+    prefill_engine = plan.prefill_engine
+    if (
+        prefill_engine is not None
+        and failure.endpoint_id == prefill_engine.endpoint.id
+    ):
+        # The prefill failed, so the request was not sent for decode.
+        return max(0, spent - reached)
+    return min(spent, 1 - reached)
+
+
+def _retry_reason(exchange):
+    """Return the reason for further sends, as a metrics label."""
+    if exchange.first_event_ms is not None:
+        return "resume"
+    return "read again" if exchange.prefills else "send again"
+
+
+def _source(plan):
+    return plan.source and plan.source.endpoint
--- /dev/null
+++ b/clementinewall/gateway/topic_followers.py
@@ -0,0 +1,266 @@
+"""Tasks that follow topics of the platform's store.
+
+One task with its own connection follows each topic: it reads the newest record
+of each key, then the records after them, and applies them to the gateway's
+fleet view.  A gateway sends what it reads to its peers, so that not every
+gateway has to read (see :mod:`clementinewall.policy.store_polling`).  While
+the store is unavailable, the gateway serves with the last known state.
+"""
+
+import anyio
+
+from clementinewall import clock
+from clementinewall import errors
+from clementinewall.gateway import topic_updates
+from clementinewall import logs
+from clementinewall import metrics
+from clementinewall.platform import records
+from clementinewall.platform import store
+from clementinewall.policy import store_polling
+
+_log = logs.PartLog("follow")
+
+# Operators' changes are rare, so a read waits for the next one.  A confirmed
+# change has to be active within a bound, also at a gateway that receives no
+# update: the last in line reads 1.8 cycles after the last update, so wait and
+# gap together take less than half of the bound.
+CONFIGURATION_WAIT_FRACTION = 0.35
+# Changes also come in quick succession; after a gap, one read returns several.
+CONFIGURATION_GAP_FRACTION = 0.1
+# Endpoints write several times a second, so a waiting read would return at
+# once each time.  A draining endpoint must be known within a bound; a quarter
+# of it allows for the last gateway in line and one lost read.
+FLEET_GAP_FRACTION = 0.25
+# Running gateways discover each other by datagram; only starting ones need the
+# topic.  A waiting read would return whenever a gateway starts.
+PEERS_GAP_MS = 30_000
+
+
+class Follower:
+    """Follows one topic for as long as it runs."""
+
+    def __init__(
+        self,
+        settings,
+        now,
+        topic,
+        apply_snapshot,
+        apply_record,
+        cycle,
+        newest_first=False,
+    ):
+        """Apply what is read with the two callbacks.
+
+        ``apply_snapshot`` gets the newest records of all keys in a batch.
+        ``apply_record`` gets one later record and returns whether peers must
+        receive it.  With ``newest_first`` it gets the records of each read in
+        that order, for topics where the newest record replaces all others.
+        """
+        self._store = store.Store(settings.store, now)
+        self._now = now
+        self._topic = topic
+        self._apply_snapshot = apply_snapshot
+        self._apply_record = apply_record
+        self._cycle = cycle
+        self._next = None
+        self._synced_at = None
+        self._failing_since = None
+        self._recent_reads = topic_updates.RecentReads(topic)
+        self._update_received = anyio.Event()
+        self._is_reader = True
+        self._peers = None
+        self._newest_first = newest_first
+        self.on_store_recovered = None
+
+    def share_updates(self, peers):
+        """Share reads with ``peers``: send them updates and receive theirs."""
+        self._peers = peers
+        peers.on_update(self._topic, self.apply_update)
+
+    async def run(self):
+        """Follow the topic until cancelled."""
+        while True:
+            try:
+                await self._step()
+            except store.HistoryExpired:
+                _log.warning(
+                    "topic history was removed, reading the newest records",
+                    topic=self._topic,
+                    at=self._next,
+                )
+                self._next = None
+            except errors.LogUnavailable as exc:
+                self._record_failure(exc)
+                await anyio.sleep(clock.seconds(self._retry_ms()))
+            await self._wait_until_due()
+
+    async def _wait_until_due(self):
+        """Wait until this gateway has to read the topic itself."""
+        while self._next is not None:
+            left = self._synced_at + self._max_age_ms() - self._now()
+            if left <= 0:
+                return
+            self._update_received = anyio.Event()
+            with anyio.move_on_after(clock.seconds(left)):
+                await self._update_received.wait()
+
+    def _group_rank(self):
+        return self._peers.group_rank() if self._peers else 0
+
+    def _max_age_ms(self):
+        return store_polling.max_age_ms(self._cycle, self._group_rank())
+
+    def _retry_ms(self):
+        if self._next is None:
+            # Updates from peers build on a snapshot, which is missing here.
+            return store_polling.RETRY_MS
+        return store_polling.retry_ms(self._cycle, self._group_rank())
+
+    async def _step(self):
+        metrics.count("store_calls", topic=self._topic)
+        if self._next is None:
+            batch = await self._store.newest(self._topic)
+            self._record_success()
+            self._recent_reads.forget()
+            self._apply_snapshot(batch)
+            self._next = batch.end
+            return
+        batch = await self._store.read(
+            self._topic, self._next, self._cycle.wait_ms
+        )
+        away_ms = self._record_success()
+        # A peer's update may have been applied while the read waited.
+        start = self._next
+        if batch.end < start:
+            return
+        fresh = [r for r in batch.records if r.offset >= start]
+        if self._newest_first:
+            fresh.reverse()
+        changed = [record for record in fresh if self._apply_record(record)]
+        self._next = batch.end
+        if self._peers is not None:
+            update = self._recent_reads.add(start, batch.end, changed, away_ms)
+            self._peers.send_update(update)
+
+    def apply_update(self, update):
+        """Apply what another gateway read of this topic."""
+        if self._next is None or update.end < self._next:
+            return
+        if update.start > self._next or not update.whole:
+            if update.end > self._next:
+                self._make_due()
+            return
+        if self._is_reader:
+            _log.info("updated by another gateway", topic=self._topic)
+        self._is_reader = False
+        missed_ms = min(update.away_ms, self._now() - self._synced_at)
+        if missed_ms and self.on_store_recovered is not None:
+            self.on_store_recovered(missed_ms)
+        for record in update.records:
+            if record.offset >= self._next:
+                self._apply_record(record)
+        self._next = update.end
+        self._recent_reads.forget()
+        self._synced_at = self._now()
+        self._update_received.set()
+
+    def _make_due(self):
+        """Make a read due now, as an update left out some records."""
+        self._synced_at = self._now() - self._cycle.cycle_ms * 2
+        self._update_received.set()
+
+    def _record_failure(self, exc):
+        metrics.count("store_failures", topic=self._topic)
+        if self._failing_since is None:
+            self._failing_since = self._now()
+            _log.warning(
+                "store unavailable, serving with the last known state",
+                topic=self._topic,
+                why=exc.message,
+            )
+
+    def _record_success(self):
+        """Record an answer; return the ms for which the store was away."""
+        away_ms = 0
+        now = self._now()
+        if self._failing_since is not None:
+            # Updates that peers sent meanwhile were not missed.
+            synced_at = self._synced_at or self._failing_since
+            away_ms = now - max(self._failing_since, synced_at)
+            self._failing_since = None
+            _log.info(
+                "store available again", topic=self._topic, away_ms=away_ms
+            )
+            if self.on_store_recovered is not None:
+                self.on_store_recovered(away_ms)
+        if not self._is_reader:
+            _log.info("this gateway reads the topic again", topic=self._topic)
+        self._is_reader = True
+        self._synced_at = now
+        return away_ms
+
+
+def configuration_follower(settings, now, fleet_view):
+    """Return the :class:`Follower` of the operators' topic."""
+
+    def apply_record(record):
+        fleet_view.apply_configuration(record)
+        return record.key == records.CONFIGURATION_KEY
+
+    def apply_snapshot(batch):
+        for record in batch.records:
+            apply_record(record)
+
+    return Follower(
+        settings,
+        now,
+        records.CONFIGURATION_TOPIC,
+        apply_snapshot,
+        apply_record,
+        store_polling.PollCycle(
+            int(
+                settings.bounds.configuration_ms * CONFIGURATION_WAIT_FRACTION
+            ),
+            int(settings.bounds.configuration_ms * CONFIGURATION_GAP_FRACTION),
+        ),
+        # Only the newest configuration of a read needs to be decoded.
+        newest_first=True,
+    )
+
+
+def fleet_follower(settings, now, fleet_view):
+    """Return the :class:`Follower` of the endpoints' topic."""
+    follower = Follower(
+        settings,
+        now,
+        records.ENDPOINTS_TOPIC,
+        fleet_view.apply_fleet_snapshot,
+        fleet_view.apply_endpoint,
+        store_polling.PollCycle(
+            0, int(settings.bounds.draining_ms * FLEET_GAP_FRACTION)
+        ),
+    )
+    follower.on_store_recovered = fleet_view.record_store_recovery
+    return follower
+
+
+def peers_follower(settings, now, apply_record, on_snapshot_applied):
+    """Return the :class:`Follower` of the gateways' topic.
+
+    ``on_snapshot_applied`` is called after each snapshot from the store, once
+    all gateways in it were applied.
+    """
+
+    def apply_snapshot(batch):
+        for record in batch.records:
+            apply_record(record)
+        on_snapshot_applied()
+
+    return Follower(
+        settings,
+        now,
+        records.GATEWAYS_TOPIC,
+        apply_snapshot,
+        apply_record,
+        store_polling.PollCycle(0, PEERS_GAP_MS),
+    )
--- a/clementinewall/lab/main.py
+++ b/clementinewall/lab/main.py
@@ -1,22 +1,24 @@
-"""Play policies against a model of the engines, side by side.
+"""Compare placement policies on simulated engines.
 
 Usage:
   clementinewall-lab DEPLOYMENT [options] [--policy=POLICY]...
   clementinewall-lab --help
 
 Options:
-  --policy=POLICY  gateway, random or random-split; for other thresholds
-                   NAME:module.CONSTANT=VALUE,... with modules of
-                   clementinewall.policy.  All three by default.
-  --load=X         Multiply the requests of all classes [default: 1.0].
-  --reading=PART   Part of the engines that read, instead of the file's.
-  --seconds=S      Seconds of load [default: 20].
-  --seeds=LIST     Seeds of the load and all chances [default: 1,2,3].
-  --jobs=N         Processes to use [default: 2].
+  --policy=POLICY  gateway, random or random-split; to override constants
+                   of modules of clementinewall.policy, give
+                   NAME:module.CONSTANT=VALUE,...  All three by default.
+  --load=X         Multiply the request rates of all classes [default: 1.0].
+  --reading=PART   Fraction of the engines that prefill, instead of the
+                   deployment file's.
+  --seconds=S      Duration of the load in seconds [default: 20].
+  --seeds=LIST     Random seeds, one run for each [default: 1,2,3].
+  --jobs=N         Worker processes [default: 2].
   --json           Print JSON instead of a table.
-  --plot=FILE      Draw credit and bound as a PNG too (needs matplotlib).
+  --plot=FILE      Also draw credit and bound into a PNG file (needs
+                   matplotlib).
 
-Exit codes: 0 played, 2 bad command line or deployment file.
+Exit codes: 0 completed, 2 bad command line or deployment file.
 """
 
 import multiprocessing
@@ -34,12 +36,12 @@
 from clementinewall.lab import report
 from clementinewall.lab import simulation
 
-LOGS = "clementinewall.logs"
+LOGGED_PACKAGE = "clementinewall.logs"
 DEFAULT_POLICIES = ("gateway", "random", "random-split")
 
 
 class Job(typing.NamedTuple):
-    """One run to play."""
+    """One run: a deployment, a policy and a seed."""
 
     deployment: deployments.Deployment
     policy: policies.Policy
@@ -48,36 +50,39 @@
 
 
 def play(job):
-    """Play one run and return its :class:`report.Summary`.
+    """Simulate one run and return its :class:`report.Summary`.
 
-    The gateways' code spreads the times at which callers come back by the
-    module's own random numbers, and logs each decision.
+    The gateways' code adds jitter to retry delays from the global random
+    generator, which is seeded here so that runs repeat.  It also logs each
+    decision, so logging is disabled during the run.
     """
     arrivals = load.draw(job.deployment, job.seconds, job.seed)
     random.seed(job.seed)
-    loguru.logger.disable(LOGS)
+    loguru.logger.disable(LOGGED_PACKAGE)
     try:
         simulated = simulation.Simulation(job.deployment, job.policy, job.seed)
         run = simulated.run(arrivals)
     finally:
-        loguru.logger.enable(LOGS)
+        loguru.logger.enable(LOGGED_PACKAGE)
     return report.summarize(job.deployment, arrivals, run, job.seconds)
 
 
-def experiment(jobs, processes):
-    """Play all runs; return the mean of each policy's by its text."""
+def play_all(jobs, processes):
+    """Simulate all runs; return each policy's mean summary by its text."""
     with multiprocessing.Pool(processes) as pool:
         found = pool.map(play, jobs, chunksize=1)
-    by_policy = {}
+    summaries_by_policy = {}
     for job, summary in zip(jobs, found, strict=True):
-        by_policy.setdefault(job.policy.text, []).append(summary)
-    return {name: report.mean(rows) for name, rows in by_policy.items()}
+        summaries_by_policy.setdefault(job.policy.text, []).append(summary)
+    return {
+        name: report.mean(rows) for name, rows in summaries_by_policy.items()
+    }
 
 
-def jobs_of(options):
+def parse_jobs(options):
     """Return the runs that a command line asks for.
 
-    :raises SettingsError: something in it is wrong.
+    :raises SettingsError: an option or the deployment file is invalid.
     """
     deployment = deployments.load(options["DEPLOYMENT"])
     factor = _number(options, "--load")
@@ -119,12 +124,12 @@
 
 
 def main():
-    """Read the command line, play and print."""
+    """Parse the command line, simulate and print the report."""
     options = docopt.docopt(__doc__)
     try:
-        jobs = jobs_of(options)
+        jobs = parse_jobs(options)
         processes = max(1, int(_number(options, "--jobs")))
-        found = experiment(jobs, processes)
+        found = play_all(jobs, processes)
         if options["--plot"]:
             report.plot(found, options["--plot"])
     except errors.SettingsError as exc:
--- a/clementinewall/lab/policies.py
+++ b/clementinewall/lab/policies.py
@@ -1,8 +1,8 @@
-"""The ways of placing that the lab compares, and changed thresholds.
+"""The placement policies that the lab compares, and their overrides.
 
 A policy is named on the command line as ``NAME`` or as
-``NAME:module.CONSTANT=VALUE,...``, which runs it with other values of named
-constants of :mod:`clementinewall.policy`.
+``NAME:module.CONSTANT=VALUE,...``, which overrides constants of modules of
+:mod:`clementinewall.policy` for the run.
 """
 
 import contextlib
@@ -17,97 +17,107 @@
 
 
 class Policy(typing.NamedTuple):
-    """A policy as it was named."""
+    """A parsed policy: ``overrides`` are (module, constant, value)."""
 
     text: str
     name: str
-    values: tuple[tuple[str, str, float], ...]
+    overrides: tuple[tuple[str, str, float], ...]
 
 
 def parse(text):
     """Return the :class:`Policy` that ``text`` names.
 
-    :raises SettingsError: there is no such policy or constant.
+    :raises SettingsError: the policy or a constant does not exist, or a
+        value is not a number.
     """
     name, _, rest = text.partition(":")
     if name not in PLACERS:
         known = ", ".join(sorted(PLACERS))
         raise errors.SettingsError(f"no policy {name!r}; known: {known}")
-    values = tuple(_value(row) for row in rest.split(",") if row)
-    return Policy(text, name, values)
+    overrides = tuple(_parse_override(row) for row in rest.split(",") if row)
+    return Policy(text, name, overrides)
 
 
-def _value(row):
+def _parse_override(row):
     where, _, number = row.partition("=")
     module, _, constant = where.partition(".")
     try:
         found = importlib.import_module(f"clementinewall.policy.{module}")
-        present = getattr(found, constant)
+        default = getattr(found, constant)
     except (ImportError, AttributeError, ValueError) as exc:
         raise errors.SettingsError(f"no constant {where!r}: {exc}") from exc
-    if isinstance(present, bool) or not isinstance(present, (int, float)):
+    if isinstance(default, bool) or not isinstance(default, (int, float)):
         raise errors.SettingsError(f"{where} is no number")
     try:
-        return module, constant, type(present)(number)
+        return module, constant, type(default)(number)
     except ValueError as exc:
         raise errors.SettingsError(f"{row!r}: {exc}") from exc
 
 
 @contextlib.contextmanager
-def in_force(policy):
-    """Run with the constants that the policy names."""
-    before = []
+def overridden_constants(policy):
+    """Set the constants that the policy overrides; restore them after."""
+    previous = []
     try:
-        for module, constant, value in policy.values:
+        for module, constant, value in policy.overrides:
             found = importlib.import_module(f"clementinewall.policy.{module}")
-            before.append((found, constant, getattr(found, constant)))
+            previous.append((found, constant, getattr(found, constant)))
             setattr(found, constant, value)
         yield
     finally:
-        for found, constant, value in reversed(before):
+        for found, constant, value in reversed(previous):
             setattr(found, constant, value)
 
 
-def _as_gateways(gateway, _rng):
+def _gateway_placer(gateway, _rng):
     return gateway.placer.place
 
 
-def _random(gateway, rng):
-    """Place on a random decoding engine; refuse nothing."""
+def _random_placer(gateway, rng):
+    """Prefill and decode on one random decode engine; refuse nothing."""
 
     def place(exchange, _last):
         states = gateway.endpoints.of_service(exchange.service.name)
-        return _plan(None, rng.choice(_with(states, domain.DECODE)))
+        return _plan(None, rng.choice(_of_stage(states, domain.DECODE)))
 
     return place
 
 
-def _random_split(gateway, rng):
-    """Read and decode on random engines of each stage; refuse nothing."""
+def _random_split_placer(gateway, rng):
+    """Use a random engine of each stage; refuse nothing."""
 
     def place(exchange, _last):
         states = gateway.endpoints.of_service(exchange.service.name)
-        reader = rng.choice(_with(states, domain.PREFILL))
-        return _plan(reader, rng.choice(_with(states, domain.DECODE)))
+        prefill_engine = rng.choice(_of_stage(states, domain.PREFILL))
+        return _plan(
+            prefill_engine, rng.choice(_of_stage(states, domain.DECODE))
+        )
 
     return place
 
 
-def _with(states, stage):
+def _of_stage(states, stage):
     return [state for state in states if state.endpoint.stage == stage]
 
 
-def _plan(reader, decoder):
-    way = placement.Way(
-        reader and reader.endpoint.id, decoder.endpoint.id, 0.0, 0.0, 0.0, 0
+def _plan(prefill_engine, decode_engine):
+    option = placement.Option(
+        prefill_engine and prefill_engine.endpoint.id,
+        decode_engine.endpoint.id,
+        0.0,
+        0.0,
+        0.0,
+        0,
+    )
+    return placing.Plan(
+        prefill_engine, decode_engine, option, placement.URGENCY_NORMAL
     )
-    return placing.Plan(reader, decoder, way, placement.PATIENT)
 
 
 PLACERS = {
-    "gateway": _as_gateways,
-    "random": _random,
-    "random-split": _random_split,
+    "gateway": _gateway_placer,
+    "random": _random_placer,
+    "random-split": _random_split_placer,
 }
 
 
--- a/clementinewall/platform/records.py
+++ b/clementinewall/platform/records.py
@@ -1,4 +1,4 @@
-"""The records of operators and endpoints in the platform's store."""
+"""Decoding of operators' and endpoints' records in the platform's store."""
 
 import json
 import math
@@ -10,90 +10,94 @@
 CONFIGURATION_TOPIC = "keyed.op"
 CONFIGURATION_KEY = "config"
 ENDPOINTS_TOPIC = "keyed.servers"
-# Our own topics.  The prefix makes the store keep the newest record of each
-# key for good.
+# Topics that the gateways write.  The prefix makes the store keep the newest
+# record of each key without expiry.
 GATEWAYS_TOPIC = "keyed.gateways"
 LEASES_TOPIC = "keyed.leases"
-_STATES = ("ready", "draining")
+_KNOWN_STATES = ("ready", "draining")
 
 
 def configuration(raw):
     """Decode a version of the configuration.
 
-    :raises BadRecord: it cannot be read.
+    :raises BadRecord: the record cannot be decoded.
     """
-    data = _object(raw)
+    data = _decode_object(raw)
     try:
         routes = [_route(row) for row in data["routes"]]
         services = [_service(row) for row in data["services"]]
         return domain.Configuration(
-            version=_whole(data["version"]),
-            routes_by_host=_by_host(routes),
+            version=_integer(data["version"]),
+            routes_by_host=_routes_by_host(routes),
             service_by_name={service.name: service for service in services},
             limits=_limits(data.get("limits", {})),
         )
     except (KeyError, TypeError, ValueError, AttributeError) as exc:
-        raise errors.BadRecord(f"configuration: {exc!r}") from exc
+        raise errors.BadRecord(
+            f"cannot decode the configuration: {exc!r}"
+        ) from exc
 
 
 def endpoint(endpoint_id, raw):
-    """Decode what an endpoint says of itself.
+    """Decode the record that an endpoint publishes of itself.
 
-    :raises BadRecord: it is not from an endpoint or can't be read.
+    :raises BadRecord: the record is not an endpoint's or can't be decoded.
     """
-    data = _object(raw)
+    data = _decode_object(raw)
     try:
         state = data["state"]
-        if state not in _STATES:
-            raise ValueError(f"state {state!r}")
+        if state not in _KNOWN_STATES:
+            raise ValueError(f"unknown state {state!r}")
         return domain.Endpoint(
             id=endpoint_id,
             service=_text(data["service"]),
             address=_address(data["address"]),
             data_centre=_text(data["zone"]),
-            slots=_whole(data.get("slot_count", 1)),
-            leaving=state == "draining",
+            slots=_integer(data.get("slot_count", 1)),
+            draining=state == "draining",
             stage=data.get("stage"),
-            born=_whole(data.get("born", 0)),
+            incarnation=_integer(data.get("born", 0)),
         )
     except (KeyError, TypeError, ValueError, AttributeError) as exc:
-        raise errors.BadRecord(f"{endpoint_id}: {exc!r}") from exc
+        raise errors.BadRecord(
+            f"cannot decode the record of {endpoint_id}: {exc!r}"
+        ) from exc
 
 
-def _object(raw):
+def _decode_object(raw):
     try:
         data = json.loads(raw)
     except (ValueError, RecursionError) as exc:
-        raise errors.BadRecord(f"not JSON: {exc}") from exc
+        raise errors.BadRecord(f"the record is not JSON: {exc}") from exc
     if not isinstance(data, dict):
-        raise errors.BadRecord("not an object")
+        raise errors.BadRecord("the record is not a JSON object")
     return data
 
 
 def _text(value):
     if not isinstance(value, str) or not value:
-        raise ValueError(f"{value!r} is no text")
+        raise ValueError(f"{value!r} is not a non-empty string")
     return value
 
 
-def _whole(value):
+def _integer(value):
     if isinstance(value, bool) or not isinstance(value, int):
-        raise ValueError(f"{value!r} is no whole number")
+        raise ValueError(f"{value!r} is not an integer")
     return value
 
 
 def _number(value):
     if isinstance(value, bool) or not isinstance(value, (int, float)):
-        raise ValueError(f"{value!r} is no number")
+        raise ValueError(f"{value!r} is not a number")
     if not math.isfinite(value):
-        raise ValueError(f"{value!r} is not finite")
+        raise ValueError(f"{value!r} is not a finite number")
     return value
 
 
 def _address(value):
     host, _, port = _text(value).rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65_536:
-        raise ValueError(f"{value!r} is no address")
+        raise ValueError(f"{value!r} is not an address as host:port")
     return value
 
 
@@ -109,14 +113,14 @@
         timeout_ms=None if not timeout_ms else int(_number(timeout_ms)),
         goal_ms=goal_ms,
         gap_goal_ms=int(_number(row.get("gap_goal_ms") or goal_ms)),
-        priority=_whole(row.get("priority") or 0),
-        max_attempts=max(1, _whole(row.get("max_attempts") or 1)),
+        priority=_integer(row.get("priority") or 0),
+        max_attempts=max(1, _integer(row.get("max_attempts") or 1)),
         resumable=row.get("resumable") is True,
     )
 
 
 def _shares(row):
-    """Return the services of a route; ``traffic_split`` goes first."""
+    """Return a route's services; ``traffic_split`` overrides ``service``."""
     split = row.get("traffic_split")
     if split:
         return tuple(
@@ -136,9 +140,9 @@
 
 def _engine(row):
     return domain.EngineLimits(
-        slots=_whole(row["slot_count"]),
-        kv_tokens=_whole(row["kv_capacity"]),
-        kv_token_bytes=_whole(row.get("kv_token_bytes") or 0),
+        slots=_integer(row["slot_count"]),
+        kv_tokens=_integer(row["kv_capacity"]),
+        kv_token_bytes=_integer(row.get("kv_token_bytes") or 0),
         link_mbps=_number(row.get("link_mbps") or 0),
         switch_ms=int(_number(row.get("switch_s") or 0) * 1_000),
     )
@@ -147,10 +151,10 @@
 def _limits(row):
     fallback = server.Limits()
     return server.Limits(
-        header_bytes=_whole(row.get("max_header_bytes"))
+        header_bytes=_integer(row.get("max_header_bytes"))
         if row.get("max_header_bytes")
         else fallback.header_bytes,
-        body_bytes=_whole(row.get("max_body_bytes"))
+        body_bytes=_integer(row.get("max_body_bytes"))
         if row.get("max_body_bytes")
         else fallback.body_bytes,
         header_timeout_ms=int(
@@ -162,12 +166,12 @@
     )
 
 
-def _by_host(routes):
-    """Group by host, longest prefix first, as routes are looked up."""
-    grouped = {}
+def _routes_by_host(routes):
+    """Group routes by host, longest prefix first, so the first match wins."""
+    routes_by_host = {}
     for route in routes:
-        grouped.setdefault(route.host, []).append(route)
+        routes_by_host.setdefault(route.host, []).append(route)
     return {
         host: tuple(sorted(rows, key=lambda r: -len(r.prefix)))
-        for host, rows in grouped.items()
+        for host, rows in routes_by_host.items()
     }
--- a/clementinewall/platform/settings.py
+++ b/clementinewall/platform/settings.py
@@ -1,7 +1,8 @@
 """The settings file that the platform writes for each process.
 
-It has the platform's format, not that of :mod:`clementinewall.settings`.
-New keys may appear at any time and are ignored.
+The file has the platform's format, not that of
+:mod:`clementinewall.settings`.  Unknown keys are ignored, since the platform
+may add some at any time.
 """
 
 import os
@@ -13,7 +14,7 @@
 from clementinewall import settings as project_settings
 
 PATH_VARIABLE = "CLEMENTINEWALL_SETTINGS"
-HIGHEST_PORT = 65_535
+MAX_PORT = 65_535
 
 _Amount = typing.Annotated[float, _schema.Range(0, 1_000_000_000)]
 
@@ -55,27 +56,29 @@
 
 
 def load(path=None):
-    """Read and check the file, by default the one that the platform names.
+    """Read and check a settings file, by default that of ``PATH_VARIABLE``.
 
-    :raises SettingsError: naming the file and each mistake in it.
+    :raises SettingsError: the file cannot be used; names each mistake.
     """
     path = path or os.environ.get(PATH_VARIABLE)
     if not path:
-        raise errors.SettingsError(f"{PATH_VARIABLE} is not set")
+        raise errors.SettingsError(
+            f"environment variable {PATH_VARIABLE} is not set"
+        )
     data = project_settings.read_toml(path)
-    known, mistakes = _schema.build(_File, _only_known(_File, data))
+    known, mistakes = _schema.build(_File, _drop_unknown_keys(_File, data))
     if known is not None:
         mistakes += tuple(_check_addresses(known))
-    project_settings.refuse(path, mistakes)
+    project_settings.raise_mistakes(path, mistakes)
     return _translate(known)
 
 
 def _check_addresses(known):
     if not known.port_range:
-        yield _schema.Mistake("port_range", "[]", "one port or more")
-    elif not 0 < known.port_range[0] <= HIGHEST_PORT:
+        yield _schema.Mistake("port_range", "[]", "at least one port")
+    elif not 0 < known.port_range[0] <= MAX_PORT:
         found = str(known.port_range[0])
-        yield _schema.Mistake("port_range[0]", found, f"1 to {HIGHEST_PORT}")
+        yield _schema.Mistake("port_range[0]", found, f"1 to {MAX_PORT}")
     listen = known.listen
     for key, address in (
         ("listen.front", listen.front),
@@ -89,21 +92,21 @@
 
 
 def _is_port(text):
-    return text.isdecimal() and len(text) <= 5 and int(text) <= HIGHEST_PORT
+    return text.isdecimal() and len(text) <= 5 and int(text) <= MAX_PORT
 
 
-def _only_known(shape, data):
-    """Drop the keys that this version doesn't know, at every level."""
+def _drop_unknown_keys(shape, data):
+    """Return ``data`` without unknown keys, at every level."""
     if not isinstance(data, dict):
         return data
-    kept = {}
+    known_data = {}
     for name, hint in typing.get_type_hints(shape).items():
         if name in data:
             value = data[name]
             if hasattr(hint, "_fields"):
-                value = _only_known(hint, value)
-            kept[name] = value
-    return kept
+                value = _drop_unknown_keys(hint, value)
+            known_data[name] = value
+    return known_data
 
 
 def _translate(known):
@@ -125,7 +128,7 @@
             retry_slack=bounds.budget_slack,
             addresses_ttl_ms=int(bounds.ttl_max_s * 1_000),
             configuration_ms=int(bounds.config_ms),
-            leaving_ms=int(bounds.drain_ms),
-            turn_ms=int(bounds.lease_ms),
+            draining_ms=int(bounds.drain_ms),
+            order_interval_ms=int(bounds.lease_ms),
         ),
     )
--- /dev/null
+++ b/clementinewall/policy/store_polling.py
@@ -0,0 +1,65 @@
+"""Which gateway polls the store, and when others read it themselves.
+
+Calls to the store are billed, and grow with the number of gateways if each one
+polls each topic.  So one gateway of a group polls and announces what it read,
+and each of the others reads only when it has received nothing for too long.
+There is no election: gateways that receive each other's heartbeats are ranked
+by address, and the time-out of each grows with its rank.  Lost datagrams, a
+dead or partitioned reader and differing views of the ranks cost a few more
+calls, and never more than one bounded delay.
+"""
+
+import typing
+
+# Gateways for which one polls.  What it sends grows with their number.
+GROUP_SIZE = 64
+# Time-out, in poll cycles, of the gateway at rank 1.  Each further rank waits
+# longer by this many cycles, up to a limit: if the first few gateways die
+# together, all others read once.
+TIMEOUT_CYCLES = 1.4
+TIMEOUT_STEP_CYCLES = 0.1
+MAX_STEPS = 4
+# Interval at which the gateway at rank 0 retries an unreachable store; it
+# announces when the store is back.  Others retry less often, since each call
+# is billed.
+RETRY_MS = 200
+
+
+class PollCycle(typing.NamedTuple):
+    """How long a read of a topic may wait, and the pause after it, in ms."""
+
+    wait_ms: int
+    gap_ms: int
+
+    @property
+    def cycle_ms(self):
+        """Return the time from one read to the next."""
+        return self.wait_ms + self.gap_ms
+
+
+def group(own, others):
+    """Return the gateways of the group of ``own``, by rank."""
+    names = sorted({own, *others})
+    groups = max(1, round(len(names) / GROUP_SIZE))
+    return names[names.index(own) % groups :: groups]
+
+
+def rank(own, others):
+    """Return the rank of ``own`` in its group; the gateway at 0 polls.
+
+    ``others`` are the addresses of the live gateways that serve callers.
+    """
+    return group(own, others).index(own)
+
+
+def max_age_ms(cycle, rank_in_group):
+    """Return the age in ms of the last known read at which to read again."""
+    if rank_in_group == 0:
+        return cycle.gap_ms
+    steps = min(rank_in_group - 1, MAX_STEPS)
+    return cycle.cycle_ms * (TIMEOUT_CYCLES + TIMEOUT_STEP_CYCLES * steps)
+
+
+def retry_ms(cycle, rank_in_group):
+    """Return the delay in ms before the next call after a failed one."""
+    return min(max(RETRY_MS, cycle.cycle_ms), RETRY_MS * (1 + rank_in_group))
--- a/tests/gateway/test_peers.py
+++ b/tests/gateway/test_peers.py
@@ -1,13 +1,13 @@
-"""When a gateway tells the others of its work."""
+"""When a gateway sends its work to its peers."""
 
 import unittest
 
 from clementinewall import clock
 from clementinewall import domain
-from clementinewall.gateway import beliefs
+from clementinewall.gateway import cell_membership
+from clementinewall.gateway import crash_guard
 from clementinewall.gateway import endpoints
-from clementinewall.gateway import guard
-from clementinewall.gateway import membership
+from clementinewall.gateway import fleet_view
 from clementinewall.gateway import peer_messages
 from clementinewall.gateway import peers
 
@@ -30,13 +30,13 @@
 
 
 class _Wire:
-    """Keeps what is sent in place of a socket."""
+    """Stores sent messages in place of a socket."""
 
     def __init__(self):
         self.messages = []
 
     def send(self, raw, ips):
-        """Keep a message for each receiver."""
+        """Store the message for each receiver."""
         message = peer_messages.load(raw)
         self.messages.extend((ip, message) for ip in ips)
 
@@ -45,10 +45,10 @@
     """A gateway with one peer and one engine."""
 
     def setUp(self):
-        """Begin a second after the start, with an idle socket."""
+        """Start with one live peer and an idle socket."""
         self.ticker = clock.ManualClock(100_000)
         now = self.ticker.now
-        known = beliefs.Beliefs(now)
+        known = fleet_view.FleetView(now)
         known.endpoint_by_id = {"e1": ENGINE}
         self.endpoints = endpoints.Endpoints(known, now)
         self.peers = peers.Peers(
@@ -56,19 +56,21 @@
             now,
             lambda: True,
             self.endpoints,
-            guard.Guard(now),
-            membership.Membership(SETTINGS, known),
+            crash_guard.CrashGuard(now),
+            cell_membership.CellMembership(SETTINGS, known),
         )
         self.wire = _Wire()
         self.peers._datagrams = self.wire
-        sign = peer_messages.Sign(OTHER, f"{OTHER}:1", "a", True, now())
-        self.peers.table.take_sign(sign)
-        self.peers._membership.update([OTHER])
+        heartbeat = peer_messages.Heartbeat(
+            OTHER, f"{OTHER}:1", "a", True, now()
+        )
+        self.peers.table.record_heartbeat(heartbeat)
+        self.peers._cell_membership.update([OTHER])
 
     def begin(self, cost_ms):
-        """Begin a prompt and tell it."""
+        """Begin a prompt and announce it."""
         job = self.endpoints.state(ENGINE).begin_prompt(1, cost_ms)
-        self.peers.tell_prompt(job)
+        self.peers.announce_prompt(job)
 
     def jobs_told(self):
         """Return how many prompts each message names."""
@@ -77,24 +79,24 @@
             for _, message in self.wire.messages
         ]
 
-    def test_it_is_told_before_anything_else_can_be_sent(self):
-        # The body of a long prompt fills the link.  A datagram behind it is
-        # lost, and other gateways take the engine for idle.
+    def test_a_prompt_is_announced_before_its_body_is_sent(self):
+        # The body of a long prompt saturates the link.  A datagram sent after
+        # it is lost, and other gateways take the engine for idle.
         self.begin(300.0)
         self.assertEqual(self.jobs_told(), [1])
 
-    def test_a_long_prompt_is_told_again(self):
+    def test_a_long_prompt_is_announced_again(self):
         self.begin(300.0)
         self.peers._send()
         self.assertEqual(self.jobs_told(), [1])
-        self.ticker.advance(peers.AGAIN_MS)
+        self.ticker.advance(peers.REPEAT_DELAY_MS)
         self.peers._send()
         self.assertEqual(self.jobs_told(), [1, 1])
         self.peers._send()
         self.assertEqual(self.jobs_told(), [1, 1])
 
-    def test_prompts_at_once_are_told_together(self):
-        # Each told by itself, a burst would send hundreds of datagrams.
+    def test_simultaneous_prompts_share_a_datagram(self):
+        # Announced one by one, a burst would send hundreds of datagrams.
         for _ in range(5):
             self.begin(5.0)
         self.assertEqual(self.jobs_told(), [1])
@@ -104,22 +106,22 @@
 
 
 class Forged(unittest.TestCase):
-    """Datagrams from whoever sends to the port."""
+    """Forged datagrams from hosts that are not gateways."""
 
-    def test_numbers_without_end_do_not_end_the_process(self):
+    def test_infinite_numbers_do_not_end_the_process(self):
         now = clock.ManualClock(100_000).now
-        known = beliefs.Beliefs(now)
+        known = fleet_view.FleetView(now)
         known.endpoint_by_id = {"e1": ENGINE}
         found = peers.Peers(
             SETTINGS,
             now,
             lambda: True,
             endpoints.Endpoints(known, now),
-            guard.Guard(now),
-            membership.Membership(SETTINGS, known),
+            crash_guard.CrashGuard(now),
+            cell_membership.CellMembership(SETTINGS, known),
         )
-        sign = ["10.0.0.2", "", "a", True, 0]
-        state = {"sign": sign, "work": {}, "away": {}}
+        heartbeat = ["10.0.0.2", "", "a", True, 0]
+        state = {"sign": heartbeat, "work": {}, "away": {}}
         endless = float("inf")
         for message in (
             {"kept": [["p", "e1", endless, 0]]},
--- a/tests/gateway/test_placing.py
+++ b/tests/gateway/test_placing.py
@@ -1,4 +1,4 @@
-"""Which engines a gateway takes into account."""
+"""Which engines the placer of a gateway considers."""
 
 import types
 import unittest
@@ -6,10 +6,10 @@
 from clementinewall import clock
 from clementinewall import domain
 from clementinewall import errors
-from clementinewall.gateway import beliefs
+from clementinewall.gateway import cell_membership
 from clementinewall.gateway import endpoints
 from clementinewall.gateway import exchange as exchanges
-from clementinewall.gateway import membership
+from clementinewall.gateway import fleet_view
 from clementinewall.gateway import peer_table
 from clementinewall.gateway import placing
 from clementinewall.http1 import server
@@ -48,39 +48,41 @@
 
 def engine(number, stage, **more):
     """Return the record of an engine."""
-    row = {"leaving": False, "stage": stage, "born": 1}
+    row = {"draining": False, "stage": stage, "incarnation": 1}
     row.update(more)
     name = f"i-{number:04}"
     return domain.Endpoint(name, "model", f"{name}:1", "a", 16, **row)
 
 
 class Placing(unittest.TestCase):
-    """One of 32 gateways in four cells, before 24 engines."""
+    """One of 32 gateways in four cells, with 24 engines."""
 
     def setUp(self):
-        """Know all gateways and engines."""
+        """Create a placer that knows all gateways and engines."""
         self.ticker = clock.ManualClock(100_000)
         now = self.ticker.now
-        self.beliefs = beliefs.Beliefs(now)
-        self.beliefs.configuration = domain.Configuration(
+        self.fleet_view = fleet_view.FleetView(now)
+        self.fleet_view.configuration = domain.Configuration(
             1, {}, {"model": SERVICE}, server.Limits()
         )
-        self.beliefs.endpoint_by_id = {
+        self.fleet_view.endpoint_by_id = {
             found.id: found
             for found in (
                 engine(n, domain.STAGES[n % len(domain.STAGES)])
                 for n in range(24)
             )
         }
-        self.endpoints = endpoints.Endpoints(self.beliefs, now)
-        self.membership = membership.Membership(SETTINGS, self.beliefs)
-        self.membership.update(GATEWAYS[1:])
+        self.endpoints = endpoints.Endpoints(self.fleet_view, now)
+        self.cell_membership = cell_membership.CellMembership(
+            SETTINGS, self.fleet_view
+        )
+        self.cell_membership.update(GATEWAYS[1:])
         table = peer_table.PeerTable(GATEWAYS[0], now)
         self.placer = placing.Placer(
             SETTINGS,
             self.endpoints,
             types.SimpleNamespace(table=table),
-            self.membership,
+            self.cell_membership,
             now,
         )
 
@@ -94,55 +96,65 @@
         )
         return self.placer.place(exchange, None)
 
-    def own(self, stage):
-        """Return the engines of the cell in a stage."""
+    def cell_engines(self, stage):
+        """Return the engines of a stage in the gateway's cell."""
         return [
             state
             for state in self.endpoints.of_service("model")
-            if self.membership.is_own(state) and state.endpoint.stage == stage
+            if self.cell_membership.is_cell_engine(state)
+            and state.endpoint.stage == stage
         ]
 
-    def test_the_cell_serves_itself(self):
+    def test_requests_stay_in_the_cell(self):
         for _ in range(50):
             plan = self.place()
-            self.assertTrue(self.membership.is_own(plan.decoder))
-            self.assertTrue(self.membership.is_own(plan.reader))
+            self.assertTrue(
+                self.cell_membership.is_cell_engine(plan.decode_engine)
+            )
+            self.assertTrue(
+                self.cell_membership.is_cell_engine(plan.prefill_engine)
+            )
 
-    def test_other_cells_help_where_all_engines_of_a_stage_crashed(self):
-        # All decode engines of a cell crash together.  Its gateways would
-        # refuse every caller for seconds while three other cells have room.
-        for state in self.own(domain.DECODE):
-            state.health.failed(self.ticker.now(), absent=True)
+    def test_engines_of_other_cells_are_used_if_those_of_a_stage_crashed(self):
+        # Guards against refusing every caller for seconds when all decode
+        # engines of a cell crash while three other cells have headroom.
+        for state in self.cell_engines(domain.DECODE):
+            state.health.record_failure(self.ticker.now(), absent=True)
         for _ in range(20):
             plan = self.place()
-            self.assertFalse(self.membership.is_own(plan.decoder))
-            self.assertTrue(plan.decoder.is_usable())
+            self.assertFalse(
+                self.cell_membership.is_cell_engine(plan.decode_engine)
+            )
+            self.assertTrue(plan.decode_engine.is_usable())
 
-    def test_full_engines_are_no_reason_to_go_elsewhere(self):
-        # With too much work everywhere, cells that send each other what
-        # they can't serve make everybody late.
-        for state in self.own(domain.DECODE):
+    def test_full_cell_refuses_instead_of_using_other_cells(self):
+        # Guards against late answers in all cells: under overload, cells that
+        # send each other the excess only add to the queues.
+        for state in self.cell_engines(domain.DECODE):
             state.streams = state.endpoint.slots
         with self.assertRaises(errors.Overloaded):
             self.place()
 
-    def test_another_stage_clears_what_the_old_one_refused(self):
-        # An engine that is asked for what its stage doesn't do refuses.  It
-        # must be used as soon as its record tells the new stage.
-        state = self.own(domain.DECODE)[0]
-        state.health.failed(self.ticker.now(), absent=True)
+    def test_engine_is_usable_again_after_a_stage_change(self):
+        # Guards against leaving an engine unused after a change of its stage.
+        # It refused requests for the stage it did not have, and must be used
+        # as soon as its record shows the new one.
+        state = self.cell_engines(domain.DECODE)[0]
+        state.health.record_failure(self.ticker.now(), absent=True)
         changed = state.endpoint._replace(stage=domain.PREFILL)
         self.assertTrue(self.endpoints.state(changed).is_usable())
 
-    def test_callers_are_not_sent_to_dead_engines_one_after_the_other(self):
+    def test_unreachable_engines_are_probed_once_per_interval(self):
+        # Guards against sending every caller to an unreachable engine when all
+        # decode engines are unreachable.
         for state in self.endpoints.of_service("model"):
             if state.endpoint.stage == domain.DECODE:
-                state.health.failed(self.ticker.now(), absent=True)
+                state.health.record_failure(self.ticker.now(), absent=True)
         self.place()
         with self.assertRaises(errors.Overloaded) as caught:
             self.place()
         self.assertGreaterEqual(
-            caught.exception.retry_after_ms, placement.EMPTY_RETRY_MS
+            caught.exception.retry_after_ms, placement.NO_DECODE_RETRY_MS
         )
-        self.ticker.advance(placing.PROBE_MS)
+        self.ticker.advance(placing.PROBE_INTERVAL_MS)
         self.place()
