--- a/tests/gateway/test_following.py
+++ b/tests/gateway/test_topic_followers.py
@@ -1,4 +1,4 @@
-"""Gateways that tell each other what they read of the store."""
+"""Gateways that send each other what they read from the store."""
 
 import json
 import unittest
@@ -11,9 +11,9 @@
 from clementinewall import clock
 from clementinewall import domain
 from clementinewall import errors
-from clementinewall.gateway import beliefs
-from clementinewall.gateway import following
-from clementinewall.gateway import news as news_module
+from clementinewall.gateway import fleet_view
+from clementinewall.gateway import topic_followers
+from clementinewall.gateway import topic_updates
 from clementinewall.platform import records
 from clementinewall.platform import store
 
@@ -33,12 +33,12 @@
 STATES = ("ready", "ready", "draining", None, "odd")
 
 
-class _Log:
+class _Topic:
     """A topic that all gateways read."""
 
     def __init__(self):
         self.records = []
-        self.pages_late = 0
+        self.pages_after_end = 0
 
     def write(self, key, state, born=1):
         """Append what an endpoint says, or remove it."""
@@ -59,7 +59,7 @@
         """Return the newest records; some pages are read after the end."""
         by_key = {record.key: record for record in self.records}
         rows = [r for r in by_key.values() if r.value is not None]
-        end = max(0, len(self.records) - self.pages_late)
+        end = max(0, len(self.records) - self.pages_after_end)
         return store.Batch(tuple(rows), end)
 
     async def read(self, _topic, start, _wait_ms=0):
@@ -71,30 +71,32 @@
     """Keeps what a gateway would tell the others."""
 
     def __init__(self):
-        self.told = []
+        self.sent = []
 
-    def on_news(self, _topic, _take):
-        """Nobody listens here; tests hand news on."""
+    def on_update(self, _topic, _take):
+        """Nobody listens here; tests hand update on."""
 
-    def tell_news(self, news):
-        """Keep the news as it would arrive."""
-        raw = json.dumps(news_module.encode(news))
-        self.told.append(news_module.decode(json.loads(raw)))
+    def send_update(self, update):
+        """Keep the update as it would arrive."""
+        raw = json.dumps(topic_updates.encode(update))
+        self.sent.append(topic_updates.decode(json.loads(raw)))
 
-    def place_in_line(self):
+    def group_rank(self):
         """Return the first place."""
         return 0
 
 
 class _Gateway:
-    """One gateway's beliefs of the endpoints, and how it follows them."""
+    """One gateway's fleet_view of the endpoints, and how it follows them."""
 
     def __init__(self, log, now):
-        self.beliefs = beliefs.Beliefs(now)
-        self.follower = following.fleet_follower(SETTINGS, now, self.beliefs)
+        self.fleet_view = fleet_view.FleetView(now)
+        self.follower = topic_followers.fleet_follower(
+            SETTINGS, now, self.fleet_view
+        )
         self.follower._store = log
         self.peers = _Peers()
-        self.follower.share(self.peers)
+        self.follower.share_updates(self.peers)
 
     def step(self):
         """Read once."""
@@ -103,15 +105,15 @@
     @property
     def known(self):
         """Return what is believed, without heartbeats."""
-        return dict(self.beliefs.endpoint_by_id)
+        return dict(self.fleet_view.endpoint_by_id)
 
 
-class News(unittest.TestCase):
+class UpdateSharing(unittest.TestCase):
     """A reader and a listener that gets some of its datagrams."""
 
     def setUp(self):
         self.clock = clock.ManualClock()
-        self.log = _Log()
+        self.log = _Topic()
 
     def pair(self):
         """Return two gateways that have read what there is."""
@@ -139,44 +141,44 @@
     )
     @hypothesis.settings(derandomize=True, max_examples=500, deadline=None)
     def test_the_listener_believes_what_the_reader_does(
-        self, rounds, pages_late, first, second
+        self, rounds, pages_after_end, first, second
     ):
-        # Heartbeats are not told, datagrams get lost, records lapse in
-        # outages, and pages of the newest records may be newer than the end
-        # that they name.  A listener that missed a record would send work
-        # to an engine that left long ago, or drop one that lives.
-        self.log = _Log()
+        # A listener that misses a record sends work to an engine that left
+        # long ago, or drops one that is running.  Heartbeats are not sent on,
+        # datagrams get lost, records expire in outages, and pages of the
+        # newest records may be newer than the end offset that they name.
+        self.log = _Topic()
         self.write_all(first)
         listener = _Gateway(self.log, self.clock.now)
         listener.step()
         self.write_all(second)
-        self.log.pages_late = min(pages_late, len(second))
+        self.log.pages_after_end = min(pages_after_end, len(second))
         reader = _Gateway(self.log, self.clock.now)
         reader.step()
         for writes, fate, away_ms in rounds:
             if away_ms:
-                reader.follower._failed(errors.LogUnavailable("down"))
+                reader.follower._record_failure(errors.LogUnavailable("down"))
                 self.clock.advance(away_ms)
             self.write_all(writes)
             reader.step()
             if fate == "told":
-                listener.follower.take_news(reader.peers.told[-1])
+                listener.follower.apply_update(reader.peers.sent[-1])
             if fate == "read":
                 listener.step()
         reader.step()
-        listener.follower.take_news(reader.peers.told[-1])
+        listener.follower.apply_update(reader.peers.sent[-1])
         if listener.follower._next != len(self.log.records):
             listener.step()
-        self.clock.advance(beliefs.LAPSE_GRACE_MS)
+        self.clock.advance(fleet_view.LAPSE_GRACE_MS)
         for gateway in (reader, listener):
-            gateway.beliefs.expire()
+            gateway.fleet_view.expire()
         self.assertEqual(listener.known, reader.known)
 
     def test_a_record_of_an_earlier_life(self):
-        # The last words of an engine's earlier process arrive after the new
-        # one began.  A gateway that starts then takes them for the newest.
-        # If it weren't told of the next heartbeat, which changes nothing
-        # for the others, it would leave out a sound engine for good.
+        # A gateway leaves out a healthy engine for good.  The last record of
+        # the engine's earlier process arrives after the new one started, and
+        # a gateway that starts then takes it for the newest.  The next
+        # heartbeat changes nothing for others but must be sent to it.
         self.log.write("e1", "ready", born=2)
         reader = _Gateway(self.log, self.clock.now)
         reader.step()
@@ -186,8 +188,8 @@
         listener.step()
         self.log.write("e1", "ready", born=2)
         reader.step()
-        listener.follower.take_news(reader.peers.told[-1])
-        self.assertFalse(listener.known["e1"].leaving)
+        listener.follower.apply_update(reader.peers.sent[-1])
+        self.assertFalse(listener.known["e1"].draining)
         self.assertEqual(listener.known, reader.known)
 
     def write_all(self, writes):
@@ -201,7 +203,7 @@
         for _ in range(5):
             self.log.write("e1", "ready")
             reader.step()
-        self.assertEqual(reader.peers.told[-1].records, ())
+        self.assertEqual(reader.peers.sent[-1].records, ())
 
     def test_one_lost_message_is_made_up_for(self):
         self.log.write("e1", "ready")
@@ -209,56 +211,56 @@
         self.log.write("e1", "draining")
         reader.step()
         reader.step()
-        listener.follower.take_news(reader.peers.told[-1])
-        self.assertTrue(listener.known["e1"].leaving)
+        listener.follower.apply_update(reader.peers.sent[-1])
+        self.assertTrue(listener.known["e1"].draining)
 
     def test_a_gap_is_read_and_not_guessed(self):
-        # More messages were lost than one covers.
+        # A draining engine stays in use after more updates were lost than the
+        # next one covers.
         self.log.write("e1", "ready")
         reader, listener = self.pair()
         self.log.write("e1", "draining")
-        for _ in range(news_module.COVERED + 1):
+        for _ in range(topic_updates.READS_PER_UPDATE + 1):
             self.log.write("e2", "ready")
             reader.step()
-        listener.follower.take_news(reader.peers.told[-1])
-        self.assertFalse(listener.known["e1"].leaving)
+        listener.follower.apply_update(reader.peers.sent[-1])
+        self.assertFalse(listener.known["e1"].draining)
         self.assertLessEqual(
-            listener.follower._known_at + listener.follower._patience_ms(),
+            listener.follower._synced_at + listener.follower._max_age_ms(),
             self.clock.now(),
         )
         listener.step()
-        self.assertTrue(listener.known["e1"].leaving)
+        self.assertTrue(listener.known["e1"].draining)
 
     def test_a_change_too_large_to_tell_is_read(self):
-        # A configuration of 1,400 routes fits into no datagram.
-        row = store.Record("config", b"x" * news_module.MAX_BYTES, 4)
-        journal = news_module.Journal(records.CONFIGURATION_TOPIC)
-        news = journal.add(4, 5, [row], 0)
-        self.assertFalse(news.whole)
-        self.assertEqual(news.records, ())
-        self.assertEqual(news.end, 5)
+        # A configuration of 1,400 routes fits into no datagram, so the
+        # update has to make the receivers read it.
+        row = store.Record("config", b"x" * topic_updates.MAX_BYTES, 4)
+        recent_reads = topic_updates.RecentReads(records.CONFIGURATION_TOPIC)
+        update = recent_reads.add(4, 5, [row], 0)
+        self.assertFalse(update.whole)
+        self.assertEqual(update.records, ())
+        self.assertEqual(update.end, 5)
 
     @hypothesis.given(
         strategies.lists(strategies.integers(0, 30_000), max_size=40)
     )
     @hypothesis.settings(derandomize=True)
     def test_news_is_small_whatever_was_read(self, sizes):
-        # The reader's machine has a link of 5 Mbit/s and 63 listeners.
-        # While it sends them a large message nothing else gets out, and
-        # callers of that gateway see it stand still.
-        journal = news_module.Journal(records.CONFIGURATION_TOPIC)
+        # Callers of the reading gateway get no data while it sends a large
+        # update to 63 listeners over a link of 5 Mbit/s.
+        recent_reads = topic_updates.RecentReads(records.CONFIGURATION_TOPIC)
         for offset, size in enumerate(sizes):
             row = store.Record("config", b"x" * size, offset)
-            news = journal.add(offset, offset + 1, [row], 0)
-            raw = json.dumps(news_module.encode(news))
+            update = recent_reads.add(offset, offset + 1, [row], 0)
+            raw = json.dumps(topic_updates.encode(update))
             self.assertLess(len(raw), 2_000)
 
     def test_of_many_configurations_only_the_newest_is_decoded(self):
-        # A configuration of 1,400 routes takes milliseconds to decode, and
-        # operators may write 25 of them within two seconds.  Meanwhile
-        # callers of this gateway would wait.
-        known = beliefs.Beliefs(self.clock.now)
-        follower = following.configuration_follower(
+        # Callers wait while configurations are decoded: one of 1,400 routes
+        # takes milliseconds, and operators may write 25 within two seconds.
+        known = fleet_view.FleetView(self.clock.now)
+        follower = topic_followers.configuration_follower(
             SETTINGS, self.clock.now, known
         )
         follower._store = self.log
@@ -271,37 +273,37 @@
             records, "configuration", wraps=records.configuration
         ) as decode:
             anyio.run(follower._step)
-        # The newest can't be read, so the one before it is in force.
+        # The newest is invalid, so the one before it is active.
         self.assertEqual(known.configuration.version, 24)
         self.assertEqual(decode.call_count, 2)
 
     def test_what_lapsed_in_an_outage_stays_for_the_listener_too(self):
-        # Only the reader sees that the store was away.  A listener that
-        # isn't told of it drops each engine whose record lapsed, and
-        # refuses all work until they are back.
+        # A listener drops each engine whose record expired in an outage and
+        # refuses all work until they are back, if the reader, which alone
+        # sees the outage, does not announce it.
         self.log.write("e1", "ready")
         reader, listener = self.pair()
-        reader.follower._failed(errors.LogUnavailable("down"))
+        reader.follower._record_failure(errors.LogUnavailable("down"))
         self.clock.advance(5_000)
         self.log.write("e1", None)
         reader.step()
-        listener.follower.take_news(reader.peers.told[-1])
+        listener.follower.apply_update(reader.peers.sent[-1])
         self.assertIn("e1", listener.known)
-        self.clock.advance(beliefs.LAPSE_GRACE_MS)
-        listener.beliefs.expire()
+        self.clock.advance(fleet_view.LAPSE_GRACE_MS)
+        listener.fleet_view.expire()
         self.assertNotIn("e1", listener.known)
 
     def test_a_store_away_for_one_gateway_only(self):
-        # The store turns one gateway away.  Told by others all the while,
-        # it missed nothing, so an engine that leaves then is dropped at
-        # once and gets no two seconds more of work.
+        # An engine that left gets work for two more seconds from a gateway
+        # that the store refused.  Updates from peers kept that gateway
+        # current, so it must drop the engine at once.
         self.log.write("e1", "ready")
         reader, cut_off = self.pair()
-        cut_off.follower._failed(errors.LogUnavailable("busy"))
+        cut_off.follower._record_failure(errors.LogUnavailable("busy"))
         for _ in range(20):
             self.clock.advance(400)
             reader.step()
-            cut_off.follower.take_news(reader.peers.told[-1])
+            cut_off.follower.apply_update(reader.peers.sent[-1])
         self.log.write("e1", None)
         cut_off.step()
         self.assertNotIn("e1", cut_off.known)
